--- a/packages/amaranthknot/src/gateway/fleet-report.ts
+++ b/packages/amaranthknot/src/gateway/fleet-report.ts
@@ -60,7 +60,7 @@
     const {get} = this;
     const now = get('options').clock.now();
     this.takeMembers(report, now);
-    get('limits').hear(report.limits);
+    get('limits').merge(report.limits);
     get('rollouts').merge(report.rollouts, report.evidence);
     if (!this.isLed()) {
       // A watcher's sums count the same requests; with both, engines look
@@ -112,7 +112,7 @@
   takeFromFollower(report: protocol.FollowerReport): void {
     const {get} = this;
     const now = get('options').clock.now();
-    get('limits').hear(report.limits);
+    get('limits').merge(report.limits);
     if (report.isWatcher) {
       get('members').noteKeeper(report.from, now);
       return;
@@ -154,7 +154,7 @@
     const name = nameStart(watcher);
     get('members').takeTold(name, membersVersion, members, now);
     get('picker').hear(WATCHER, upstreams, 'others');
-    get('limits').hear(limits);
+    get('limits').merge(limits);
     get('rollouts').takeSums(rollouts, evidence);
     this.toldSessions = {
       watcher: name,
--- a/packages/amaranthknot/src/gateway/store-watching.ts
+++ b/packages/amaranthknot/src/gateway/store-watching.ts
@@ -108,16 +108,16 @@
 
   /** Age, in ms, from which a view is too old to rely on its watcher. */
   freshMs(kind: string): number {
-    return decisions.findStaleMs(this.boundMs(kind));
+    return decisions.findStaleAfterMs(this.boundMs(kind));
   }
 
   /** What this instance does about a kind now. */
-  findNeed(view: fleet.KindView): decisions.WatchNeed {
+  findNeed(view: fleet.KindView): decisions.SyncMode {
     if (this.mustProbe(view)) {
       return 'ask';
     }
     const ageMs = this.options.now() - view.confirmedAtMs;
-    const need = decisions.findWatchNeed(
+    const need = decisions.findSyncMode(
       this.watchesStore(),
       ageMs,
       this.boundMs(view.kind),
--- a/packages/amaranthknot/src/gateway/wiring/request-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/request-factories.ts
@@ -45,7 +45,7 @@
   const ids = new Set(known.map(({upstream}) => upstream.id));
   get('pool').keepOnly(ids);
   get('picker').keepOnly(ids);
-  get('limits').keepOnly(ids);
+  get('limits').retain(ids);
 };
 
 const nameIncarnation = (get: gatewayTokens.ResolveGateway): string => {
@@ -124,7 +124,7 @@
       get('pool'),
       DIALECT.headers,
       (upstream, perSecond) => {
-        get('limits').note(upstream, perSecond);
+        get('limits').record(upstream, perSecond);
       },
     ),
     refreshTable: () => get('refresh').run(),
--- a/packages/amaranthknot/src/gateway/wiring/store-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/store-factories.ts
@@ -59,7 +59,7 @@
     clock,
     random,
     findWaitMs: ageMs =>
-      decisions.findWatchMs(get('watching').boundMs(view.kind), ageMs),
+      decisions.findWatchDurationMs(get('watching').boundMs(view.kind), ageMs),
     pauseAfterChangesMs: decisions.findChangePauseMs(
       get('watching').boundMs(view.kind),
     ),
--- a/packages/amaranthknot/src/rollout-parts.ts
+++ b/packages/amaranthknot/src/rollout-parts.ts
@@ -71,7 +71,7 @@
     return RATING_BUDGET;
   }
   const share = get('rolloutShares').shareOf(environmentOf(get), found);
-  const shares = decisions.shareRatings(share, RATING_BUDGET);
+  const shares = decisions.allocateRatings(share, RATING_BUDGET);
   return version === found.to ? shares.new : shares.old;
 };
 
--- a/packages/amaranthknot/tests/gateway/named-limits.test.ts
+++ b/packages/amaranthknot/tests/gateway/named-limits.test.ts
@@ -65,7 +65,7 @@
   ): Promise<void> => {
     await clock.sleep(ANSWER_MS);
     const {id} = placed.upstream;
-    get('limits').note(id, id === LIMITED ? limited.limit : undefined);
+    get('limits').record(id, id === LIMITED ? limited.limit : undefined);
     placed.settle('answered');
   };
   const sendOne = (): void => {
--- a/packages/bench/src/benches/rollout.ts
+++ b/packages/bench/src/benches/rollout.ts
@@ -46,7 +46,7 @@
       look(evidence) {
         const {steps, requestRate, ratingDelay} = scenario;
         const look = {steps, evidence, requestRate, ratingDelay};
-        const looked = decisions.lookAtRollout(state, look);
+        const looked = decisions.evaluateRollout(state, look);
         state = looked.state;
         const {share, kind} = looked.decision;
         return {share, stopped: kind === 'stop'};
--- a/packages/bench/src/models/rollout-traffic.ts
+++ b/packages/bench/src/models/rollout-traffic.ts
@@ -107,7 +107,7 @@
   const isNew = version === 'new';
   const part = isNew ? share : 1 - share;
   const rated =
-    decisions.shareRatings(share, RATING_BUDGET)[version] * (1 - MISSING);
+    decisions.allocateRatings(share, RATING_BUDGET)[version] * (1 - MISSING);
   const answers = drawPoisson(random, part * scenario.requestRate * TICK);
   for (let i = 0; i < answers; i++) {
     const instance = Math.floor(random() * scenario.instances);
--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission-queue.ts
@@ -9,7 +9,7 @@
  */
 import type * as admissionOutcome from './admission-outcome.js';
 import * as expiryQueue from './expiry-queue.js';
-import * as fairShare from './fair-share.js';
+import * as fairQueue from './fair-queue.js';
 import * as slotPool from './slot-pool.js';
 import * as standingQueue from './standing-queue.js';
 import * as waitPolicy from './wait-policy.js';
@@ -45,17 +45,17 @@
   private readonly maxQueued: number;
   private order = 0;
   private readonly standing = new standingQueue.StandingQueue();
-  private readonly shares: fairShare.FairShare;
-  private readonly waits: waitPolicy.WaitPolicy;
+  private readonly fairQueue: fairQueue.FairQueue;
+  private readonly waitPolicy: waitPolicy.WaitPolicy;
   private readonly waiting = new Map<string, Entry>();
   private readonly expiries = new expiryQueue.ExpiryQueue();
 
   constructor(private readonly options: AdmissionOptions) {
     this.slots = new slotPool.SlotPool(options.capacity);
-    this.shares = new fairShare.FairShare(this.slots);
-    this.waits = new waitPolicy.WaitPolicy(
+    this.fairQueue = new fairQueue.FairQueue(this.slots);
+    this.waitPolicy = new waitPolicy.WaitPolicy(
       this.slots,
-      this.shares,
+      this.fairQueue,
       this.standing,
     );
     this.maxQueued = options.maxQueued ?? DEFAULT_MAX_QUEUED;
@@ -86,14 +86,14 @@
     if (this.waiting.has(request.id) || this.slots.has(request.id)) {
       throw new Error(`request ${request.id} was offered twice`);
     }
-    const workspace = this.shares.findWorkspace(request.workspace);
+    const workspace = this.fairQueue.findWorkspace(request.workspace);
     const entry = this.createEntry(request, workspace, nowMs);
     this.slots.see(request.priority, entry.serviceMs, nowMs);
-    const waitMs = this.shares.estimateWaitMs(entry, workspace, nowMs);
-    const reason = this.findRefusal(entry, workspace, waitMs, nowMs);
+    const waitMs = this.fairQueue.estimateWaitMs(entry, workspace, nowMs);
+    const reason = this.findRefusalReason(entry, workspace, waitMs, nowMs);
     if (reason) {
-      this.shares.forgetIfIdle(request.workspace, workspace);
-      const retryAfterMs = this.drawRetryAfter(waitMs);
+      this.fairQueue.removeIfIdle(request.workspace, workspace);
+      const retryAfterMs = this.drawRetryAfterMs(waitMs);
       return {kind: 'refused', reason, retryAfterMs};
     }
     this.enqueue({...entry, estimatedWaitMs: waitMs}, nowMs);
@@ -109,7 +109,7 @@
     if (!running) {
       return [];
     }
-    this.shares.settle(running, nowMs - running.admittedMs);
+    this.fairQueue.settle(running, nowMs - running.admittedMs);
     return this.dispatch(nowMs);
   }
 
@@ -125,11 +125,11 @@
         return refusals;
       }
       this.dequeue(entry);
-      this.shares.recordWait(entry, nowMs);
+      this.fairQueue.recordWait(entry, nowMs);
       refusals.push({
         request: entry.request,
         reason: 'wait_expired',
-        retryAfterMs: this.drawRetryAfter(this.estimateDrainMs(nowMs)),
+        retryAfterMs: this.drawRetryAfterMs(this.estimateDrainMs(nowMs)),
       });
     }
   }
@@ -153,10 +153,10 @@
 
   /** Wait that a request offered now would have, in milliseconds. */
   estimateWaitMs(request: Request, nowMs: number): number {
-    const workspace = this.shares.findWorkspace(request.workspace);
+    const workspace = this.fairQueue.findWorkspace(request.workspace);
     const entry = this.createEntry(request, workspace, nowMs);
-    const waitMs = this.shares.estimateWaitMs(entry, workspace, nowMs);
-    this.shares.forgetIfIdle(request.workspace, workspace);
+    const waitMs = this.fairQueue.estimateWaitMs(entry, workspace, nowMs);
+    this.fairQueue.removeIfIdle(request.workspace, workspace);
     return waitMs;
   }
 
@@ -178,7 +178,7 @@
     const marginMs = Math.min(fullMargin, Math.max(serviceMs, slackMs / 2));
     const admitByMs = Math.min(
       request.deadlineMs - marginMs,
-      nowMs + this.waits.maxWaitMs(request, workspace, nowMs),
+      nowMs + this.waitPolicy.maxWaitMs(request, workspace, nowMs),
     );
     return {
       request,
@@ -191,7 +191,7 @@
     };
   }
 
-  private findRefusal(
+  private findRefusalReason(
     entry: Entry,
     workspace: Workspace,
     waitMs: number,
@@ -202,10 +202,10 @@
     }
     const neededMs = waitMs * workspace.waitMargin;
     const allowedMs = entry.admitByMs - nowMs;
-    const share = this.waits.waitShare(entry.request, workspace, nowMs);
+    const share = this.waitPolicy.waitShare(entry.request, workspace, nowMs);
     // Work that would end after its deadline takes a slot and helps no one.
     if (neededMs > share * allowedMs) {
-      return this.waits.isKeptShort(entry.request, nowMs)
+      return this.waitPolicy.isOverloaded(entry.request, nowMs)
         ? 'overloaded'
         : 'deadline_unreachable';
     }
@@ -223,14 +223,14 @@
   }
 
   private enqueue(entry: Entry, nowMs: number): void {
-    this.shares.push(entry, nowMs);
+    this.fairQueue.push(entry, nowMs);
     this.waiting.set(entry.request.id, entry);
     this.expiries.push(entry);
     this.standing.push(entry.request.priority, nowMs);
   }
 
   private dequeue(entry: Entry): void {
-    this.shares.leave(entry);
+    this.fairQueue.remove(entry);
     this.waiting.delete(entry.request.id);
     this.standing.leave(entry.request.priority);
     this.expiries.sweep(this.standing.count);
@@ -243,7 +243,7 @@
       this.slots.inFlight < this.slots.capacity &&
       this.standing.count > 0
     ) {
-      const entry = this.shares.chooseNext(nowMs);
+      const entry = this.fairQueue.chooseNext(nowMs);
       if (!entry) {
         break;
       }
@@ -256,8 +256,8 @@
   private admit(entry: Entry, nowMs: number): void {
     const {request, serviceMs} = entry;
     this.dequeue(entry);
-    this.shares.recordWait(entry, nowMs);
-    this.shares.charge(entry);
+    this.fairQueue.recordWait(entry, nowMs);
+    this.fairQueue.charge(entry);
     this.slots.take(request, serviceMs, nowMs);
   }
 
@@ -270,7 +270,7 @@
   }
 
   /** Jitter over the whole span keeps refused callers from returning as one. */
-  private drawRetryAfter(waitMs: number): number {
+  private drawRetryAfterMs(waitMs: number): number {
     const base = Math.max(MIN_RETRY_AFTER_MS, waitMs);
     const bounded = Math.min(base, MAX_RETRY_AFTER_MS / 2);
     return Math.round(bounded * (1 + this.options.random()));
--- a/packages/decisions/src/cascade.ts
+++ b/packages/decisions/src/cascade-policy.ts
@@ -10,7 +10,7 @@
  * that quality never gives way quietly.
  */
 import type * as cascadePlan from './cascade-plan.js';
-import * as estimate from './logistic-estimate.js';
+import * as logisticRegression from './logistic-regression.js';
 import * as qualityPrice from './quality-price.js';
 import * as stageBelief from './stage-belief.js';
 
@@ -49,15 +49,15 @@
 /** Old ratings fade over about a thousand of the task's, so drift shows. */
 const AGING = 1e-6;
 /** Requests alike that share a plan, so that a decision stays cheap. */
-const PLAN_USES = 8;
+const REQUESTS_PER_PLAN = 8;
 /** Covers the sampling error of some thousand ratings. */
 const MARGIN = 0.005;
 /** Callers name tasks: more kinds than this in a workspace share one entry. */
-const TASK_LIMIT = 64;
+const MAX_TASKS = 64;
 const OTHER_TASKS = '';
 
 /** Beliefs of one kind of task by model. */
-type Models = Map<string, stageBelief.StageBelief>;
+type BeliefsByModel = Map<string, stageBelief.StageBelief>;
 
 /** A plan in use for the next requests alike. */
 interface ActivePlan {
@@ -67,7 +67,7 @@
 }
 
 interface TaskState {
-  readonly models: Models;
+  readonly models: BeliefsByModel;
   active?: ActivePlan;
 }
 
@@ -79,10 +79,10 @@
 
 /** A stage with the coefficients drawn for one request. */
 interface DrawnStage {
-  readonly stakes: stageBelief.Stakes;
+  readonly costs: stageBelief.AnswerCosts;
   readonly coefficients: readonly number[];
   /** What to expect of starting here. */
-  readonly direct: stageBelief.Expectation;
+  readonly direct: stageBelief.ExpectedOutcome;
 }
 
 /** Learns the cascades of all workspaces; one per process. */
@@ -114,7 +114,7 @@
       return active.plan;
     }
     const plan = this.draw(request, random);
-    task.active = {plan, request, usesLeft: PLAN_USES - 1};
+    task.active = {plan, request, usesLeft: REQUESTS_PER_PLAN - 1};
     return plan;
   }
 
@@ -125,20 +125,24 @@
     const explores = random() < this.explorationShare;
     const draw = explores ? () => drawNormal(random) : undefined;
     const drawn = this.drawStages(request, draw);
-    const startStage = findStart(drawn);
+    const startStage = findStartStage(drawn);
     const expected = drawn[startStage]?.direct.pass ?? 0;
     const state = this.findWorkspace(request.workspace);
     state.target = request.target ?? state.target;
     if (state.target !== undefined) {
       const goal = Math.min(1, state.target + this.margin);
-      const missing = goal - expected;
-      state.price = qualityPrice.countPlans(state.price, PLAN_USES, missing);
+      const shortfall = goal - expected;
+      state.price = qualityPrice.adjustForPlans(
+        state.price,
+        REQUESTS_PER_PLAN,
+        shortfall,
+      );
     }
     const accepted = drawn.map((stage, i) =>
       stageBelief.findAcceptance(
         stage.coefficients,
         i !== startStage,
-        stage.stakes,
+        stage.costs,
       ),
     );
     return {
@@ -154,7 +158,7 @@
     const belief = findBelief(models, answer.model);
     models.set(
       answer.model,
-      stageBelief.countScore(belief, answer.escalated, answer.score),
+      stageBelief.recordScore(belief, answer.escalated, answer.score),
     );
   }
 
@@ -169,12 +173,12 @@
     const expected = stageBelief.predictPass(belief, escalated, score);
     models.set(
       rating.model,
-      stageBelief.rateAnswer(belief, escalated, score, rating.rating),
+      stageBelief.recordRating(belief, escalated, score, rating.rating),
     );
     const state = this.findWorkspace(rating.workspace);
     state.target = rating.target ?? state.target;
-    const missing = expected - rating.rating;
-    state.price = qualityPrice.countRating(state.price, missing);
+    const shortfall = expected - rating.rating;
+    state.price = qualityPrice.adjustForRating(state.price, shortfall);
   }
 
   /** Everything learned, to hand to other instances. */
@@ -213,26 +217,26 @@
       throw new Error('a cascade has at least one stage');
     }
     const {price} = this.findWorkspace(request.workspace);
-    const badAnswer = Math.exp(price.log) * capable.cost;
+    const badAnswerCost = Math.exp(price.log) * capable.cost;
     const {models} = this.findTask(request.workspace, request.task);
-    let goingOn: stageBelief.Expectation = {loss: Infinity, pass: 0};
+    let escalation: stageBelief.ExpectedOutcome = {loss: Infinity, pass: 0};
     const drawn = request.stages.toReversed().map(stage => {
       const belief = findBelief(models, stage.model);
       const coefficients = draw
-        ? estimate.drawCoefficients(belief.pass, draw)
+        ? logisticRegression.drawCoefficients(belief.pass, draw)
         : belief.pass.mean;
-      const stakes = {badAnswer, goingOn};
-      const expect = (escalated: boolean): stageBelief.Expectation => {
-        const {loss, pass} = stageBelief.expectOutcome(
+      const costs = {badAnswerCost, escalation};
+      const expect = (escalated: boolean): stageBelief.ExpectedOutcome => {
+        const {loss, pass} = stageBelief.estimateOutcome(
           belief,
           coefficients,
           escalated,
-          stakes,
+          costs,
         );
         return {loss: stage.cost + loss, pass};
       };
-      goingOn = expect(true);
-      return {stakes, coefficients, direct: expect(false)};
+      escalation = expect(true);
+      return {costs, coefficients, direct: expect(false)};
     });
     return drawn.toReversed();
   }
@@ -244,7 +248,7 @@
     }
     const state = {
       tasks: new Map<string, TaskState>(),
-      price: qualityPrice.FIRST_PRICE,
+      price: qualityPrice.INITIAL_PRICE,
       target: undefined,
     };
     this.workspaces.set(name, state);
@@ -253,7 +257,7 @@
 
   private findTask(workspace: string, task: string): TaskState {
     const {tasks} = this.findWorkspace(workspace);
-    const isFull = tasks.size >= TASK_LIMIT && !tasks.has(task);
+    const isFull = tasks.size >= MAX_TASKS && !tasks.has(task);
     const name = isFull ? OTHER_TASKS : task;
     const state = tasks.get(name) ?? {models: new Map()};
     tasks.set(name, state);
@@ -272,12 +276,15 @@
     return stage.model === other?.model && stage.cost === other.cost;
   });
 
-const findStart = (stages: readonly DrawnStage[]): number => {
+const findStartStage = (stages: readonly DrawnStage[]): number => {
   const losses = stages.map(stage => stage.direct.loss);
   return losses.indexOf(Math.min(...losses));
 };
 
-const findBelief = (models: Models, model: string): stageBelief.StageBelief =>
+const findBelief = (
+  models: BeliefsByModel,
+  model: string,
+): stageBelief.StageBelief =>
   models.get(model) ?? stageBelief.createStageBelief();
 
 /** Standard normal number by the Box-Muller transform. */
--- a/packages/decisions/src/fair-share.ts
+++ b/packages/decisions/src/fair-queue.ts
@@ -16,7 +16,7 @@
  * others by this much and no more, so that a workspace which calls everything
  * urgent cannot starve the rest.
  */
-const LEAD: Readonly<Record<Priority, number>> = {
+const PRIORITY_LEAD: Readonly<Record<Priority, number>> = {
   door_check: 20,
   interactive: 4,
   batch: 0,
@@ -32,7 +32,7 @@
   (tag === bestTag && best !== undefined && entry.order < best.order);
 
 /** Most credit for time without demand, in mean service times. */
-const CREDIT = 2;
+const MAX_IDLE_CREDIT = 2;
 
 /** Where a request would stand in the order of service. */
 interface Position {
@@ -41,12 +41,12 @@
   /** Slot time of its own workspace that goes before it. */
   readonly ownMs: number;
   /** Mean service of the longest kind of work. */
-  readonly unitMs: number;
+  readonly longestServiceMs: number;
   readonly nowMs: number;
 }
 
 /** What may go before a position. */
-interface Rival {
+interface CompetingLoad {
   /** Slot time that waits already. */
   readonly queuedMs: number;
   /** Slots that requests to come keep busy. */
@@ -56,7 +56,7 @@
 }
 
 /** Shares the slots of a pool between workspaces. */
-export class FairShare {
+export class FairQueue {
   private virtualTime = 0;
   private readonly workspaces = new Map<string, Workspace>();
   /** Workspaces with waiting requests; decisions look at no others. */
@@ -78,7 +78,7 @@
   }
 
   /** Drops a workspace that owes nothing, so that state stays bounded. */
-  forgetIfIdle(name: string, workspace: Workspace): void {
+  removeIfIdle(name: string, workspace: Workspace): void {
     const isSettled = workspace.virtualTime <= this.virtualTime;
     if (workspace.isIdle && isSettled && !workspace.serviceTime.hasSamples) {
       this.workspaces.delete(name);
@@ -100,9 +100,9 @@
   }
 
   /** Takes a waiting request out of its workspace's queue. */
-  leave(entry: Entry): void {
+  remove(entry: Entry): void {
     const workspace = this.findWorkspace(entry.request.workspace);
-    workspace.leave(entry);
+    workspace.remove(entry);
     if (workspace.queued === 0) {
       this.backlogged.delete(workspace);
     }
@@ -134,7 +134,7 @@
     const open = workspaceQueue.ADMISSION_PRIORITIES.filter(priority =>
       this.slots.isOpen(priority, nowMs),
     );
-    const unitMs = this.slots.longestServiceMs;
+    const longestServiceMs = this.slots.longestServiceMs;
     let best: Entry | undefined;
     let bestTag = Infinity;
     let floor = Infinity;
@@ -144,7 +144,7 @@
         continue;
       }
       floor = Math.min(floor, workspace.virtualTime);
-      const tag = this.tagOf(workspace, entry, unitMs);
+      const tag = this.tagOf(workspace, entry, longestServiceMs);
       if (isAhead(tag, bestTag, entry, best)) {
         best = entry;
         bestTag = tag;
@@ -165,12 +165,19 @@
 
   /** Virtual time at which a workspace without waiting requests starts. */
   private startOf(workspace: Workspace): number {
-    const credit = CREDIT * this.slots.meanServiceMs;
+    const credit = MAX_IDLE_CREDIT * this.slots.meanServiceMs;
     return Math.max(workspace.virtualTime, this.virtualTime - credit);
   }
 
-  private tagOf(workspace: Workspace, entry: Entry, unitMs: number): number {
-    return workspace.virtualTime - LEAD[entry.request.priority] * unitMs;
+  private tagOf(
+    workspace: Workspace,
+    entry: Entry,
+    longestServiceMs: number,
+  ): number {
+    return (
+      workspace.virtualTime -
+      PRIORITY_LEAD[entry.request.priority] * longestServiceMs
+    );
   }
 
   /**
@@ -185,21 +192,27 @@
     if (hasSlot && isBelowLimit && ownAhead === 0) {
       return 0;
     }
-    const unitMs = this.slots.longestServiceMs;
-    const start = this.startOf(workspace) - LEAD[request.priority] * unitMs;
+    const longestServiceMs = this.slots.longestServiceMs;
+    const start =
+      this.startOf(workspace) -
+      PRIORITY_LEAD[request.priority] * longestServiceMs;
     const position: Position = {
       workspace,
       tag: start + ownAhead / request.weight,
       ownMs: ownAhead + this.slots.meanServiceMs,
-      unitMs,
+      longestServiceMs,
       nowMs,
     };
-    const rivals = this.findRivals(position);
-    const queuedMs = this.waitBehind(rivals, position.ownMs, 0);
+    const competing = this.listCompetingLoads(position);
+    const queuedMs = this.estimateWaitBehindMs(competing, position.ownMs, 0);
     // Requests that come during the wait go ahead too, where their workspace
     // is behind in virtual time; without them the wait is guessed too short
     // for large workspaces, and their requests wait only to be given up on.
-    const sharedMs = this.waitBehind(rivals, position.ownMs, queuedMs);
+    const sharedMs = this.estimateWaitBehindMs(
+      competing,
+      position.ownMs,
+      queuedMs,
+    );
     // A workspace at its own bound waits for its own work to end.
     const ownMs = isBelowLimit
       ? 0
@@ -207,22 +220,22 @@
     return Math.max(sharedMs, ownMs) * this.slots.stallFactor(nowMs);
   }
 
-  private waitBehind(
-    rivals: readonly Rival[],
+  private estimateWaitBehindMs(
+    competing: readonly CompetingLoad[],
     ownMs: number,
     horizonMs: number,
   ): number {
     let ahead = ownMs;
-    for (const {queuedMs, demand, shareMs} of rivals) {
+    for (const {queuedMs, demand, shareMs} of competing) {
       ahead += Math.min(queuedMs + demand * horizonMs, shareMs);
     }
     return ahead / Math.max(1, this.slots.capacity);
   }
 
   /** All that may go before a position: waiting workspaces, and the rest. */
-  private findRivals(position: Position): readonly Rival[] {
-    const {workspace, tag, nowMs, unitMs} = position;
-    const rivals: Rival[] = [];
+  private listCompetingLoads(position: Position): readonly CompetingLoad[] {
+    const {workspace, tag, nowMs, longestServiceMs} = position;
+    const competing: CompetingLoad[] = [];
     let idleDemand = this.demand.read(nowMs);
     for (const other of this.backlogged) {
       const demand = other.demand.read(nowMs);
@@ -230,19 +243,19 @@
       if (other !== workspace) {
         const head = other.head(nowMs, workspaceQueue.ADMISSION_PRIORITIES);
         const from = head
-          ? this.tagOf(other, head, unitMs)
+          ? this.tagOf(other, head, longestServiceMs)
           : this.startOf(other);
         const shareMs = Math.max(0, tag - from) * other.weight;
-        rivals.push({queuedMs: other.queuedServiceMs, demand, shareMs});
+        competing.push({queuedMs: other.queuedServiceMs, demand, shareMs});
       }
     }
     const idle = this.workspaces.size - this.backlogged.size;
-    const start = this.virtualTime - CREDIT * this.slots.meanServiceMs;
-    rivals.push({
+    const start = this.virtualTime - MAX_IDLE_CREDIT * this.slots.meanServiceMs;
+    competing.push({
       queuedMs: 0,
       demand: Math.max(0, idleDemand),
       shareMs: idle * Math.max(0, tag - start),
     });
-    return rivals;
+    return competing;
   }
 }
--- a/packages/decisions/src/logistic-estimate.ts
+++ b/packages/decisions/src/logistic-regression.ts
@@ -69,20 +69,20 @@
  */
 export const ageBelief = (
   belief: LogisticBelief,
-  firstVariance: readonly number[],
+  priorVariance: readonly number[],
   growth: number,
 ): LogisticBelief => ({
   mean: belief.mean,
   covariance: belief.covariance.map((row, i) =>
     row.map((c, j) => {
-      const first = firstVariance[i] ?? 0;
-      return i === j && c < first ? Math.min(first, c + growth * first) : c;
+      const prior = priorVariance[i] ?? 0;
+      return i === j && c < prior ? Math.min(prior, c + growth * prior) : c;
     }),
   ),
 });
 
 /** Lower triangular factor of a positive semidefinite matrix. */
-const factor = (matrix: readonly (readonly number[])[]): number[][] => {
+const choleskyFactor = (matrix: readonly (readonly number[])[]): number[][] => {
   const rows: number[][] = [];
   for (let i = 0; i < matrix.length; i++) {
     const row: number[] = [];
@@ -102,6 +102,6 @@
   drawNormal: () => number,
 ): readonly number[] => {
   const normals = belief.mean.map(() => drawNormal());
-  const rows = factor(belief.covariance);
+  const rows = choleskyFactor(belief.covariance);
   return belief.mean.map((m, i) => m + dot(rows[i] ?? [], normals));
 };
--- a/packages/decisions/src/model-choice.ts
+++ b/packages/decisions/src/model-choice.ts
@@ -8,7 +8,7 @@
  */
 
 /** A request, as far as its worth and its price depend on it. */
-export interface AnswerStake {
+export interface RequestProfile {
   readonly promptTokens: number;
   /** Most tokens of the answer. */
   readonly maxTokens: number;
@@ -23,13 +23,13 @@
  * longest answer, in the unit of the prices: operators say what models cost,
  * not what answers are worth.
  */
-const WORTH_PER_THOUSAND = 0.18;
+const VALUE_PER_THOUSAND_TOKENS = 0.18;
 
 /** Weight of an answer's tokens against a prompt's in what it is worth. */
 const ANSWER_WEIGHT = 10;
 
 /** Price of a prompt's token against a generated one. */
-const PROMPT_PRICE = 0.25;
+const PROMPT_PRICE_RATIO = 0.25;
 
 /** Confidence at which an answer is as likely good enough as not. */
 const EVEN_CONFIDENCE = 50;
@@ -37,22 +37,23 @@
 /** Standard deviation of the opinion, in points of confidence. */
 const CONFIDENCE_DEVIATION = 8;
 
-const TOKENS = 1_000;
+const TOKENS_PER_PRICE_UNIT = 1_000;
 
 /** Standard normal distribution function, by the logistic approximation. */
-const normalShare = (z: number): number => 1 / (1 + Math.exp(-1.702 * z));
+const normalCdf = (z: number): number => 1 / (1 + Math.exp(-1.702 * z));
 
 /** Chance, 0 to 1, that an answer with this confidence, 0 to 100, is weak. */
-export const chanceOfWeak = (confidence: number): number =>
-  normalShare((EVEN_CONFIDENCE - confidence) / CONFIDENCE_DEVIATION);
+export const weakAnswerProbability = (confidence: number): number =>
+  normalCdf((EVEN_CONFIDENCE - confidence) / CONFIDENCE_DEVIATION);
 
-const worthOf = ({promptTokens, maxTokens}: AnswerStake): number =>
-  (WORTH_PER_THOUSAND * (promptTokens + ANSWER_WEIGHT * maxTokens)) / TOKENS;
+const answerValue = ({promptTokens, maxTokens}: RequestProfile): number =>
+  (VALUE_PER_THOUSAND_TOKENS * (promptTokens + ANSWER_WEIGHT * maxTokens)) /
+  TOKENS_PER_PRICE_UNIT;
 
-const priceOf = (stake: AnswerStake): number =>
-  (stake.capablePrice *
-    (PROMPT_PRICE * stake.promptTokens + stake.expectedTokens)) /
-  TOKENS;
+const escalationCost = (profile: RequestProfile): number =>
+  (profile.capablePrice *
+    (PROMPT_PRICE_RATIO * profile.promptTokens + profile.expectedTokens)) /
+  TOKENS_PER_PRICE_UNIT;
 
 /**
  * Whether the capable model should run instead.
@@ -62,7 +63,8 @@
  */
 export const shouldEscalate = (
   confidence: number,
-  stake: AnswerStake,
+  profile: RequestProfile,
   scarcity: number,
 ): boolean =>
-  chanceOfWeak(confidence) * worthOf(stake) > priceOf(stake) * scarcity;
+  weakAnswerProbability(confidence) * answerValue(profile) >
+  escalationCost(profile) * scarcity;
--- a/packages/decisions/src/quality-price.ts
+++ b/packages/decisions/src/quality-price.ts
@@ -21,42 +21,42 @@
  * Step of the log price for a whole answer missing: the price moves within
  * some thousand requests, slower than ratings are late.
  */
-const STEP = 0.004;
+const LEARNING_RATE = 0.004;
 /** Answers that one rating stands for, at most: ratings may stop coming. */
-const MOST_ANSWERS_PER_RATING = 50;
+const MAX_ANSWERS_PER_RATING = 50;
 /** Bounds, so that a long run of bad or good luck is soon undone. */
-const LOWEST_LOG = Math.log(0.02);
-const HIGHEST_LOG = Math.log(500);
+const MIN_LOG_PRICE = Math.log(0.02);
+const MAX_LOG_PRICE = Math.log(500);
 
 /** High, so that a new workspace starts with capable models. */
-export const FIRST_PRICE: QualityPrice = {
+export const INITIAL_PRICE: QualityPrice = {
   log: Math.log(5),
   requests: 0,
   ratings: 0,
 };
 
-const move = (price: QualityPrice, missing: number): QualityPrice => {
-  const floor = Math.max(LOWEST_LOG, price.log + STEP * missing);
-  return {...price, log: Math.min(HIGHEST_LOG, floor)};
+const adjustPrice = (price: QualityPrice, shortfall: number): QualityPrice => {
+  const floor = Math.max(MIN_LOG_PRICE, price.log + LEARNING_RATE * shortfall);
+  return {...price, log: Math.min(MAX_LOG_PRICE, floor)};
 };
 
 /** Counts requests planned alike, each expected to miss a share of the goal. */
-export const countPlans = (
+export const adjustForPlans = (
   price: QualityPrice,
   requests: number,
-  missing: number,
+  shortfall: number,
 ): QualityPrice => {
   const counted = {...price, requests: price.requests + requests};
-  return move(counted, requests * missing);
+  return adjustPrice(counted, requests * shortfall);
 };
 
 /** Counts a rating that fell short of what was expected of its answer. */
-export const countRating = (
+export const adjustForRating = (
   price: QualityPrice,
-  missing: number,
+  shortfall: number,
 ): QualityPrice => {
   const ratings = price.ratings + 1;
   const answers = price.requests / ratings;
-  const standsFor = Math.min(MOST_ANSWERS_PER_RATING, answers);
-  return move({...price, ratings}, standsFor * missing);
+  const answersPerRating = Math.min(MAX_ANSWERS_PER_RATING, answers);
+  return adjustPrice({...price, ratings}, answersPerRating * shortfall);
 };
--- a/packages/decisions/src/rate-limits.ts
+++ b/packages/decisions/src/rate-limits.ts
@@ -24,7 +24,7 @@
 }
 
 /** What an instance tells others of an upstream's limit. */
-export interface ToldLimit {
+export interface ReportedLimit {
   readonly id: string;
   /** Requests a second; absent where it is lifted. */
   readonly perSecond?: number | undefined;
@@ -33,14 +33,14 @@
 }
 
 /** What an upstream said last. */
-interface Row {
+interface KnownLimit {
   /** Requests a second; undefined where it is lifted. */
   readonly perSecond: number | undefined;
   readonly atMs: number;
   /** The limit as it was when it was news last. */
-  readonly toldPerSecond: number | undefined;
+  readonly announcedPerSecond: number | undefined;
   /** When it was news here. */
-  readonly toldAtMs: number;
+  readonly announcedAtMs: number;
 }
 
 /** This instance's share of a limit, as worked out last. */
@@ -51,7 +51,7 @@
 }
 
 /** Part of a limit by which it changes before that is told as news. */
-const NEWS_PART = 0.25;
+const SIGNIFICANT_CHANGE = 0.25;
 
 /** Time over which the requests to an upstream are counted, in milliseconds. */
 const WINDOW_MS = 4_000;
@@ -62,10 +62,10 @@
  * Longest time between two requests to an upstream however low its limit is,
  * in milliseconds: only an answer says that the limit is lifted.
  */
-const LONGEST_PAUSE_MS = 10_000;
+const MAX_SEND_INTERVAL_MS = 10_000;
 
 /** Time for which a share is kept, in milliseconds. */
-const SHARE_MS = 1_000;
+const SHARE_CACHE_MS = 1_000;
 
 /**
  * Time for which others are told of a change, in milliseconds: some rounds of
@@ -73,25 +73,25 @@
  * were cut off or have just started; all of them in each message would take
  * more than what instances may tell each other.
  */
-const NEWS_MS = 3_000;
-const AGAIN_EVERY_MS = 20_000;
-const AGAIN_MS = 1_000;
+const ANNOUNCE_MS = 3_000;
+const REPEAT_EVERY_MS = 20_000;
+const REPEAT_MS = 1_000;
 
 /**
  * Time after which what an upstream said is forgotten, in milliseconds: as
  * often as it is told again, it was lost on the way.
  */
-const FORGOTTEN_MS = 60_000;
+const EXPIRY_MS = 60_000;
 
 /**
  * Time by which word from another instance must be newer, in milliseconds: its
  * way here is not part of its age, and word that comes back would look newer.
  */
-const LEAST_NEWER_MS = 100;
+const MIN_NEWER_MS = 100;
 
 /** Limits of all upstreams that named one. */
 export class RateLimits {
-  private readonly rows = new Map<string, Row>();
+  private readonly knownLimits = new Map<string, KnownLimit>();
   private readonly sends = new Map<string, slidingCount.SlidingCount>();
   private readonly lastSendMs = new Map<string, number>();
   private readonly shares = new Map<string, Share>();
@@ -99,19 +99,19 @@
   constructor(private readonly options: RateLimitsOptions) {}
 
   /** Notes what an answer of an upstream says; undefined: no limit. */
-  note(id: string, perSecond: number | undefined): void {
-    if (perSecond !== undefined || this.rows.has(id)) {
+  record(id: string, perSecond: number | undefined): void {
+    if (perSecond !== undefined || this.knownLimits.has(id)) {
       this.set(id, perSecond, this.options.now());
     }
   }
 
   /** Takes in what another instance tells. */
-  hear(told: readonly ToldLimit[]): void {
+  merge(reports: readonly ReportedLimit[]): void {
     const now = this.options.now();
-    for (const {id, perSecond, ageMs} of told) {
+    for (const {id, perSecond, ageMs} of reports) {
       const atMs = now - ageMs;
-      const known = this.rows.get(id);
-      const isNewer = !known || atMs - known.atMs > LEAST_NEWER_MS;
+      const known = this.knownLimits.get(id);
+      const isNewer = !known || atMs - known.atMs > MIN_NEWER_MS;
       if (isNewer && (known || perSecond !== undefined)) {
         this.set(id, perSecond, atMs);
       }
@@ -119,18 +119,20 @@
   }
 
   /** What this instance tells others. */
-  report(): readonly ToldLimit[] {
+  report(): readonly ReportedLimit[] {
     const now = this.options.now();
-    const isAgain = now % AGAIN_EVERY_MS < AGAIN_MS;
-    return [...this.rows].flatMap(([id, {perSecond, atMs, toldAtMs}]) => {
-      const isNew = now - toldAtMs <= NEWS_MS;
-      const ageMs = Math.max(0, now - atMs);
-      return isNew || isAgain ? [{id, perSecond, ageMs}] : [];
-    });
+    const isRepeatDue = now % REPEAT_EVERY_MS < REPEAT_MS;
+    return [...this.knownLimits].flatMap(
+      ([id, {perSecond, atMs, announcedAtMs}]) => {
+        const isNew = now - announcedAtMs <= ANNOUNCE_MS;
+        const ageMs = Math.max(0, now - atMs);
+        return isNew || isRepeatDue ? [{id, perSecond, ageMs}] : [];
+      },
+    );
   }
 
   /** Notes that a request is sent to an upstream. */
-  noteSend(id: string): void {
+  recordSend(id: string): void {
     const now = this.options.now();
     const sends =
       this.sends.get(id) ?? new slidingCount.SlidingCount(WINDOW_MS);
@@ -140,31 +142,36 @@
   }
 
   /** Whether this instance may send one more request to an upstream now. */
-  mayTake(id: string): boolean {
+  maySend(id: string): boolean {
     const perSecond = this.find(id);
     if (perSecond === undefined) {
       return true;
     }
     const now = this.options.now();
     const {requests} = this.findShare(id, perSecond, now);
-    const pauseMs = findPauseMs(perSecond);
+    const intervalMs = findSendIntervalMs(perSecond);
     const sent =
-      pauseMs > WINDOW_MS
-        ? Number(now - (this.lastSendMs.get(id) ?? -Infinity) < pauseMs)
+      intervalMs > WINDOW_MS
+        ? Number(now - (this.lastSendMs.get(id) ?? -Infinity) < intervalMs)
         : (this.sends.get(id)?.count(now) ?? 0);
     return sent < requests;
   }
 
   /** Requests a second that an upstream takes; undefined: it names no limit. */
   find(id: string): number | undefined {
-    const row = this.rows.get(id);
-    const isKnown = row && this.options.now() - row.atMs <= FORGOTTEN_MS;
-    return isKnown ? row.perSecond : undefined;
+    const known = this.knownLimits.get(id);
+    const isKnown = known && this.options.now() - known.atMs <= EXPIRY_MS;
+    return isKnown ? known.perSecond : undefined;
   }
 
   /** Forgets upstreams that are no longer there. */
-  keepOnly(ids: ReadonlySet<string>): void {
-    for (const byId of [this.rows, this.sends, this.lastSendMs, this.shares]) {
+  retain(ids: ReadonlySet<string>): void {
+    for (const byId of [
+      this.knownLimits,
+      this.sends,
+      this.lastSendMs,
+      this.shares,
+    ]) {
       for (const id of byId.keys()) {
         if (!ids.has(id)) {
           byId.delete(id);
@@ -174,20 +181,25 @@
   }
 
   private set(id: string, perSecond: number | undefined, atMs: number): void {
-    const before = this.rows.get(id);
-    if (before && !isNews(before.toldPerSecond, perSecond)) {
-      this.rows.set(id, {...before, perSecond, atMs});
+    const before = this.knownLimits.get(id);
+    if (before && !isSignificantChange(before.announcedPerSecond, perSecond)) {
+      this.knownLimits.set(id, {...before, perSecond, atMs});
       return;
     }
-    const toldAtMs = this.options.now();
-    this.rows.set(id, {perSecond, atMs, toldPerSecond: perSecond, toldAtMs});
+    const announcedAtMs = this.options.now();
+    this.knownLimits.set(id, {
+      perSecond,
+      atMs,
+      announcedPerSecond: perSecond,
+      announcedAtMs,
+    });
     this.options.onChange(id, perSecond);
   }
 
   /** Kept for a while: hundreds of instances would be ranked for each request. */
   private findShare(id: string, perSecond: number, now: number): Share {
     const known = this.shares.get(id);
-    if (known?.perSecond === perSecond && now - known.atMs < SHARE_MS) {
+    if (known?.perSecond === perSecond && now - known.atMs < SHARE_CACHE_MS) {
       return known;
     }
     const {self, findInstances} = this.options;
@@ -200,10 +212,13 @@
 }
 
 /** Time between two requests at a rate, in milliseconds. */
-const findPauseMs = (perSecond: number): number =>
-  Math.min(LONGEST_PAUSE_MS, MS_PER_S / perSecond);
-
-const isNews = (told: number | undefined, now: number | undefined): boolean =>
-  told === undefined || now === undefined
-    ? told !== now
-    : Math.abs(now - told) > NEWS_PART * told;
+const findSendIntervalMs = (perSecond: number): number =>
+  Math.min(MAX_SEND_INTERVAL_MS, MS_PER_S / perSecond);
+
+const isSignificantChange = (
+  before: number | undefined,
+  after: number | undefined,
+): boolean =>
+  before === undefined || after === undefined
+    ? before !== after
+    : Math.abs(after - before) > SIGNIFICANT_CHANGE * before;
--- a/packages/decisions/src/repeat-budget.ts
+++ b/packages/decisions/src/repeat-budget.ts
@@ -24,7 +24,7 @@
 }
 
 /** Parts that make a whole sum to a little under 1 in floating point. */
-const ROUNDING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 
 interface Counts {
   readonly requests: slidingCount.SlidingCount;
@@ -50,11 +50,11 @@
    */
   hasRepeat(service: string, reserve = 0): boolean {
     const left = this.leftFor(this.countsOf(service));
-    return left >= 1 + reserve * this.slack - ROUNDING;
+    return left >= 1 + reserve * this.slack - ROUNDING_TOLERANCE;
   }
 
   /** Notes that a request is sent for the first time. */
-  noteRequest(service: string): void {
+  recordRequest(service: string): void {
     this.countsOf(service).requests.add(this.options.now());
   }
 
--- a/packages/decisions/src/retry-budget.ts
+++ b/packages/decisions/src/retry-budget.ts
@@ -22,7 +22,7 @@
 const INITIAL_TOKENS = 1;
 
 /** Parts that make a whole sum to a little under 1 in floating point. */
-const ROUNDING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 
 /** Targets remembered; past it the least recently used one is forgotten. */
 const MAX_TARGETS = 20_000;
@@ -40,7 +40,7 @@
   private readonly ratio: number;
   private burst: number;
   /** Over all targets: else each of many adds what it saved. */
-  private shared: number;
+  private sharedTokens: number;
   private readonly initial: number;
   private readonly tokens = new Map<string, number>();
 
@@ -48,7 +48,7 @@
     this.ratio = options.ratio ?? DEFAULT_RETRY_RATIO;
     this.burst = options.burst ?? DEFAULT_RETRY_BURST;
     this.initial = Math.min(this.burst, options.initial ?? INITIAL_TOKENS);
-    this.shared = this.initial;
+    this.sharedTokens = this.initial;
   }
 
   /**
@@ -57,8 +57,8 @@
    * @param reserve part of the burst, 0 to 1, that must be left afterwards.
    */
   hasRetry(target: string, reserve = 0): boolean {
-    const left = Math.min(this.read(target), this.shared);
-    return left >= 1 + reserve * this.burst - ROUNDING;
+    const left = Math.min(this.read(target), this.sharedTokens);
+    return left >= 1 + reserve * this.burst - ROUNDING_TOLERANCE;
   }
 
   /** Changes how many retries may be saved up. */
@@ -68,7 +68,7 @@
 
   /** Notes a first attempt at a target; each earns a part of a retry. */
   recordAttempt(target: string): void {
-    this.shared = Math.min(this.burst, this.shared + this.ratio);
+    this.sharedTokens = Math.min(this.burst, this.sharedTokens + this.ratio);
     this.write(target, Math.min(this.burst, this.read(target) + this.ratio));
   }
 
@@ -78,7 +78,7 @@
     if (!this.hasRetry(target)) {
       return false;
     }
-    this.shared = Math.max(0, this.shared - 1);
+    this.sharedTokens = Math.max(0, this.sharedTokens - 1);
     this.write(target, Math.max(0, tokens - 1));
     return true;
   }
--- a/packages/decisions/src/rollout-guard.ts
+++ b/packages/decisions/src/rollout-evaluation.ts
@@ -10,7 +10,7 @@
  */
 
 import * as rendezvous from './rendezvous.js';
-import * as evidence from './rollout-evidence.js';
+import * as rolloutEvidence from './rollout-evidence.js';
 import * as sequentialTest from './sequential-test.js';
 
 /** What the guard found, at one look. */
@@ -30,19 +30,19 @@
   readonly share: number;
   readonly stopped?: StopReason;
   /** Evidence already judged. */
-  readonly judged: evidence.EvidenceByInstance;
+  readonly judged: rolloutEvidence.EvidenceByInstance;
   /** Rated answers of the new version so far. */
   readonly rated: number;
-  readonly errors: sequentialTest.Ratios;
-  readonly latency: sequentialTest.Ratios;
-  readonly ratings: sequentialTest.Ratios;
+  readonly errors: sequentialTest.LogLikelihoodRatios;
+  readonly latency: sequentialTest.LogLikelihoodRatios;
+  readonly ratings: sequentialTest.LogLikelihoodRatios;
 }
 
 /** What one look starts from. */
-export interface RolloutLook {
+export interface RolloutInput {
   /** Growing shares of new sessions, 0 to 1, the last being 1. */
   readonly steps: readonly number[];
-  readonly evidence: evidence.EvidenceByInstance;
+  readonly evidence: rolloutEvidence.EvidenceByInstance;
   /** Requests a second of the model, all versions together. */
   readonly requestRate: number;
   /** How late ratings are, in seconds. */
@@ -53,26 +53,26 @@
  * Chance that a good version is ever stopped; the issue allows 1%, and the
  * mixture's bound is not tight.
  */
-const FALSE_STOP = 0.009;
+const FALSE_STOP_RATE = 0.009;
 /** Errors, latency and ratings share the chance of a false stop. */
-const STREAMS = 3;
-const STOP_BOUND = Math.log(STREAMS / FALSE_STOP);
+const TEST_COUNT = 3;
+const STOP_BOUND = Math.log(TEST_COUNT / FALSE_STOP_RATE);
 /** Doubt, as a log: at this much evidence against, exposure grows no more. */
 const DOUBT_BOUND = Math.log(3);
 /** A worse version is cleared by chance at most this often. */
-const FALSE_CLEARANCE = 0.02;
-const CLEAR_BOUND = Math.log(1 / FALSE_CLEARANCE);
+const FALSE_CLEARANCE_RATE = 0.02;
+const CLEAR_BOUND = Math.log(1 / FALSE_CLEARANCE_RATE);
 /**
  * Beyond this share a version must be cleared of being worse. At this share
  * all its answers are rated and the old version has most of the budget.
  */
 const SMALL_SHARE = 0.02;
 /** Answers that may wait for a rating before any has come. */
-const FIRST_OUTSTANDING = 20;
+const INITIAL_OUTSTANDING = 20;
 /** Answers that may wait for a rating for each that has come. */
 const OUTSTANDING_GROWTH = 0.3;
 /** Rated answers that buy each of the first steps. */
-const STEP_RATED = 40;
+const RATED_PER_STEP = 40;
 
 /** A roll-out that has not begun. */
 export const createRolloutState = (): RolloutState => ({
@@ -80,19 +80,19 @@
   share: 0,
   judged: {},
   rated: 0,
-  errors: sequentialTest.NO_RATIOS,
-  latency: sequentialTest.NO_RATIOS,
-  ratings: sequentialTest.NO_RATIOS,
+  errors: sequentialTest.ZERO_LOG_RATIOS,
+  latency: sequentialTest.ZERO_LOG_RATIOS,
+  ratings: sequentialTest.ZERO_LOG_RATIOS,
 });
 
-const judge = (
+const recordEvidence = (
   state: RolloutState,
-  now: evidence.EvidenceByInstance,
+  now: rolloutEvidence.EvidenceByInstance,
 ): RolloutState => {
-  const {old: o, new: n} = evidence.findNewEvidence(state.judged, now);
+  const {old: o, new: n} = rolloutEvidence.findNewEvidence(state.judged, now);
   return {
     ...state,
-    judged: evidence.mergeEvidence(state.judged, now),
+    judged: rolloutEvidence.mergeEvidence(state.judged, now),
     rated: state.rated + n.rated,
     errors: sequentialTest.addBlock(state.errors, {
       oldCount: o.requests,
@@ -115,7 +115,7 @@
   };
 };
 
-const listStreams = (
+const listTests = (
   state: RolloutState,
 ): readonly (readonly [StopReason, number])[] => [
   ['errors', sequentialTest.findEvidenceAgainst(state.errors)],
@@ -124,8 +124,8 @@
 ];
 
 const mayAdvance = (state: RolloutState, next: number): boolean => {
-  const isDoubtful = listStreams(state).some(([, e]) => e > DOUBT_BOUND);
-  if (isDoubtful || state.rated < STEP_RATED * (state.step + 1)) {
+  const isDoubtful = listTests(state).some(([, e]) => e > DOUBT_BOUND);
+  if (isDoubtful || state.rated < RATED_PER_STEP * (state.step + 1)) {
     return false;
   }
   const isSmall = next <= SMALL_SHARE;
@@ -139,37 +139,37 @@
  * justifies: at a high rate even a small step would otherwise hand out
  * thousands of bad answers before the first rating comes.
  */
-const boundShare = (state: RolloutState, look: RolloutLook): number => {
-  const step = look.steps[state.step] ?? 1;
+const boundShare = (state: RolloutState, input: RolloutInput): number => {
+  const step = input.steps[state.step] ?? 1;
   const cleared = sequentialTest.findEvidenceFor(state.ratings) >= CLEAR_BOUND;
   if (cleared) {
     return step;
   }
-  const outstanding = FIRST_OUTSTANDING + OUTSTANDING_GROWTH * state.rated;
-  const arriving = Math.max(1, look.requestRate * look.ratingDelay);
+  const outstanding = INITIAL_OUTSTANDING + OUTSTANDING_GROWTH * state.rated;
+  const arriving = Math.max(1, input.requestRate * input.ratingDelay);
   return Math.min(step, outstanding / arriving);
 };
 
 /** Takes in the evidence counted so far and decides the share. */
-export const lookAtRollout = (
+export const evaluateRollout = (
   before: RolloutState,
-  look: RolloutLook,
+  input: RolloutInput,
 ): {readonly state: RolloutState; readonly decision: RolloutDecision} => {
   if (before.stopped) {
     const reason = before.stopped;
     return {state: before, decision: {kind: 'stop', share: 0, reason}};
   }
-  const judged = judge(before, look.evidence);
-  const worse = listStreams(judged).find(([, e]) => e >= STOP_BOUND);
+  const judged = recordEvidence(before, input.evidence);
+  const worse = listTests(judged).find(([, e]) => e >= STOP_BOUND);
   if (worse) {
     const [reason] = worse;
     const state = {...judged, share: 0, stopped: reason};
     return {state, decision: {kind: 'stop', share: 0, reason}};
   }
-  const next = look.steps[judged.step + 1];
+  const next = input.steps[judged.step + 1];
   const advances = next !== undefined && mayAdvance(judged, next);
   const stepped = advances ? {...judged, step: judged.step + 1} : judged;
-  const share = boundShare(stepped, look);
+  const share = boundShare(stepped, input);
   const kind = share > before.share ? 'advance' : 'hold';
   return {state: {...stepped, share}, decision: {kind, share}};
 };
@@ -202,7 +202,10 @@
  * Spends the ratings that `budget`, a share of all answers, allows where they
  * tell most: on the new version first, up to half, while its share is small.
  */
-export const shareRatings = (share: number, budget: number): RatingShares => {
+export const allocateRatings = (
+  share: number,
+  budget: number,
+): RatingShares => {
   if (share <= 0 || share >= 1) {
     return {old: budget, new: budget};
   }
--- a/packages/decisions/src/rollout-schedule.ts
+++ b/packages/decisions/src/rollout-schedule.ts
@@ -37,7 +37,7 @@
  * Part of the allowed share that is used until half of the time has passed:
  * room for instances that count apart, and for repeats.
  */
-const FIRST_PART = 0.6;
+const INITIAL_FRACTION = 0.6;
 
 /**
  * Time for which the exposure is held back beyond a session's own, in ms:
@@ -47,19 +47,19 @@
 const SESSION_LAG_MS = 700;
 
 /** Part of the time after which sessions may move to the new version. */
-const MOVES_FROM = 0.5;
+const SESSION_MOVES_FROM = 0.5;
 
 /**
  * Least and largest part of the time, counted from its end, in which the new
- * version gets all traffic; see `findLeadMs`.
+ * version gets all traffic; see `findFullTrafficMs`.
  */
-const LEAD_RANGE = {least: 0.06, most: 0.3};
+const FULL_TRAFFIC_RANGE = {min: 0.06, max: 0.3};
 
 /**
  * Part of the exposure that operators bear which is planned for. Instances
  * count what they send and not what reaches an upstream twice.
  */
-const PLANNED_PART = 0.8;
+const PLANNED_FRACTION = 0.8;
 
 /**
  * How many times faster than until now requests may come in the lead. Callers
@@ -72,8 +72,8 @@
  * Time before the deadline at which the order is reported as done, as a part
  * of its duration and in ms at the least: a write that is lost is repeated.
  */
-const REPORT_PART = 0.04;
-const REPORT_LEAST_MS = 600;
+const REPORT_FRACTION = 0.04;
+const MIN_REPORT_MS = 600;
 
 /**
  * Odds against a version, as a log, at which it is stopped. By the sequential
@@ -104,13 +104,13 @@
 const DOUBT_BOUND = Math.log(4);
 
 /** Answers of the new version below which nothing is said in its favour. */
-const CLEAR_COUNT = 5;
+const MIN_NEW_ANSWERS = 5;
 
 /**
  * Answers of the old version below which nobody uses the service: a new one
  * that was never asked then stands for what nobody asks.
  */
-const IDLE_COUNT = 20;
+const IDLE_ANSWERS = 20;
 
 /** Evidence of one order by route, and by instance within it. */
 export type EvidenceByRoute = ReadonlyMap<
@@ -130,7 +130,7 @@
 
 /** What a version can be worse in. */
 interface Comparison {
-  readonly block: sequentialTest.Block;
+  readonly block: sequentialTest.OutcomeBlock;
   readonly oddsRatios: readonly number[];
   /** Odds, as a log, at which a version is stopped by this comparison. */
   readonly bound: number;
@@ -165,25 +165,25 @@
 };
 
 /** Log of the odds against the new version by one comparison. */
-const judge = ({block, oddsRatios}: Comparison): number => {
+const findLogOdds = ({block, oddsRatios}: Comparison): number => {
   // A version that nobody compares with still has a few good answers.
-  const oldCount = block.oldCount + CLEAR_COUNT;
-  return sequentialTest.judgeBlock({...block, oldCount}, oddsRatios);
+  const oldCount = block.oldCount + MIN_NEW_ANSWERS;
+  return sequentialTest.findBlockEvidence({...block, oldCount}, oddsRatios);
 };
 
 /** How far the odds are beyond a bound, in what the version is worst in. */
 const findExcess = (evidence: rolloutEvidence.RolloutEvidence): number =>
   Math.max(
     ...listComparisons(evidence).map(
-      comparison => judge(comparison) - comparison.bound,
+      comparison => findLogOdds(comparison) - comparison.bound,
     ),
   );
 
 /** Log of the odds against the new version by failures alone. */
-const findErrorOdds = ({
+const findErrorLogOdds = ({
   old: o,
   new: n,
-}: rolloutEvidence.RolloutEvidence): number => judge(compareErrors(o, n));
+}: rolloutEvidence.RolloutEvidence): number => findLogOdds(compareErrors(o, n));
 
 /**
  * Judges the new version by all evidence of an order.
@@ -204,13 +204,13 @@
   if (Math.max(findExcess(all), ...routeExcess) >= 0) {
     return 'bad';
   }
-  if (findErrorOdds(all) >= DOUBT_BOUND) {
+  if (findErrorLogOdds(all) >= DOUBT_BOUND) {
     return 'doubtful';
   }
-  if (all.new.requests < CLEAR_COUNT) {
-    return all.old.requests < IDLE_COUNT ? 'unclear' : 'unproved';
+  if (all.new.requests < MIN_NEW_ANSWERS) {
+    return all.old.requests < IDLE_ANSWERS ? 'unclear' : 'unproved';
   }
-  return findErrorOdds(all) > 0 ? 'unproved' : 'good';
+  return findErrorLogOdds(all) > 0 ? 'unproved' : 'good';
 };
 
 /** Time after an order during which the new version gets nothing. */
@@ -219,7 +219,7 @@
 
 /** Whether sessions of the old version may move to the new one. */
 export const mayMoveSessions = (timing: RolloutTiming): boolean =>
-  timing.ageMs >= MOVES_FROM * timing.durationMs;
+  timing.ageMs >= SESSION_MOVES_FROM * timing.durationMs;
 
 /** How much of a service's traffic an unproved version may see. */
 export interface ExposureLimit {
@@ -237,48 +237,52 @@
  * that operators bear, even if nothing was seen until then: the lead is what
  * is left of that exposure at the rate at which requests come.
  */
-export const findLeadMs = (
+export const findFullTrafficMs = (
   timing: RolloutTiming,
   {old: o, new: n}: rolloutEvidence.RolloutEvidence,
   limit: ExposureLimit,
 ): number => {
   const perMs = (o.requests + n.requests) / Math.max(1, timing.ageMs);
   const borne = limit.share * perMs * timing.durationMs + limit.slack;
-  const left = Math.max(0, PLANNED_PART * borne - n.requests);
-  const leadMs = perMs === 0 ? Infinity : left / (RATE_MARGIN * perMs);
+  const left = Math.max(0, PLANNED_FRACTION * borne - n.requests);
+  const fullTrafficMs = perMs === 0 ? Infinity : left / (RATE_MARGIN * perMs);
   return Math.min(
-    LEAD_RANGE.most * timing.durationMs,
-    Math.max(LEAD_RANGE.least * timing.durationMs, leadMs),
+    FULL_TRAFFIC_RANGE.max * timing.durationMs,
+    Math.max(FULL_TRAFFIC_RANGE.min * timing.durationMs, fullTrafficMs),
   );
 };
 
 /** What a share depends on. */
-export interface RolloutOutlook {
+export interface RolloutConditions {
   readonly timing: RolloutTiming;
   readonly verdict: VersionVerdict;
   readonly limit: ExposureLimit;
   /** Time before the deadline at which all traffic moves, in ms. */
-  readonly leadMs: number;
+  readonly fullTrafficMs: number;
 }
 
-const isAllNew = ({timing, verdict, leadMs}: RolloutOutlook): boolean =>
-  verdict !== 'doubtful' && timing.ageMs >= timing.durationMs - leadMs;
+const hasFullTraffic = ({
+  timing,
+  verdict,
+  fullTrafficMs,
+}: RolloutConditions): boolean =>
+  verdict !== 'doubtful' && timing.ageMs >= timing.durationMs - fullTrafficMs;
 
 /** Share of sessions, 0 to 1, that get the new version. */
-export const findRolloutShare = (outlook: RolloutOutlook): number => {
-  const {timing, verdict, limit} = outlook;
+export const findRolloutShare = (conditions: RolloutConditions): number => {
+  const {timing, verdict, limit} = conditions;
   if (verdict === 'bad' || timing.ageMs < findHoldMs(timing.sessionMs)) {
     return 0;
   }
-  return isAllNew(outlook) ? 1 : FIRST_PART * limit.share;
+  return hasFullTraffic(conditions) ? 1 : INITIAL_FRACTION * limit.share;
 };
 
 /**
  * Whether all that the new version gets goes to few of its upstreams, so that
  * these carry about as much as each will later.
  */
-export const isConcentrated = (outlook: RolloutOutlook): boolean =>
-  !isAllNew(outlook);
+export const isConcentrated = (conditions: RolloutConditions): boolean =>
+  !hasFullTraffic(conditions);
 
 /**
  * What an order comes to; undefined while it goes on.
@@ -296,7 +300,7 @@
     return 'rolled_back';
   }
   const {ageMs, durationMs} = timing;
-  const reportMs = Math.max(REPORT_LEAST_MS, REPORT_PART * durationMs);
+  const reportMs = Math.max(MIN_REPORT_MS, REPORT_FRACTION * durationMs);
   if (ageMs < durationMs - reportMs) {
     return undefined;
   }
--- a/packages/decisions/src/sample.ts
+++ b/packages/decisions/src/sample.ts
@@ -5,7 +5,7 @@
  *
  * @param random uniform random numbers in [0, 1).
  */
-export const drawSome = <T>(
+export const drawSample = <T>(
   items: readonly T[],
   count: number,
   random: () => number,
--- a/packages/decisions/src/sequential-test.ts
+++ b/packages/decisions/src/sequential-test.ts
@@ -11,7 +11,7 @@
  */
 
 /** Outcomes of both versions in one block. */
-export interface Block {
+export interface OutcomeBlock {
   readonly oldCount: number;
   readonly oldBad: number;
   readonly newCount: number;
@@ -19,7 +19,7 @@
 }
 
 /** Log likelihood ratios, one for each of `ODDS_RATIOS`. Plain JSON. */
-export type Ratios = readonly number[];
+export type LogLikelihoodRatios = readonly number[];
 
 /**
  * Odds ratios tested against. The first is also the least worsening that a
@@ -28,14 +28,14 @@
 export const ODDS_RATIOS = [1.5, 2.2, 4, 8, 20] as const;
 
 /** No evidence yet. */
-export const NO_RATIOS: Ratios = ODDS_RATIOS.map(() => 0);
+export const ZERO_LOG_RATIOS: LogLikelihoodRatios = ODDS_RATIOS.map(() => 0);
 
 /**
  * Log of the mixed evidence of one block that the new version is worse by one
  * of `oddsRatios`.
  */
-export const judgeBlock = (
-  block: Block,
+export const findBlockEvidence = (
+  block: OutcomeBlock,
   oddsRatios: readonly number[] = ODDS_RATIOS,
 ): number =>
   findEvidenceAgainst(
@@ -48,10 +48,10 @@
 
 /** Takes in a block. A block without both versions tells nothing. */
 export const addBlock = (
-  ratios: Ratios,
-  block: Block,
+  ratios: LogLikelihoodRatios,
+  block: OutcomeBlock,
   oddsRatios: readonly number[] = ODDS_RATIOS,
-): Ratios => {
+): LogLikelihoodRatios => {
   if (block.newCount === 0 || block.oldCount === 0) {
     return ratios;
   }
@@ -66,11 +66,12 @@
 };
 
 /** Log of the mixed evidence that the new version is worse. */
-export const findEvidenceAgainst = (ratios: Ratios): number => {
+export const findEvidenceAgainst = (ratios: LogLikelihoodRatios): number => {
   const highest = Math.max(...ratios);
   const sum = ratios.reduce((total, r) => total + Math.exp(r - highest), 0);
   return highest + Math.log(sum / ratios.length);
 };
 
 /** Log evidence that the new version is not worse by the first odds ratio. */
-export const findEvidenceFor = (ratios: Ratios): number => -(ratios[0] ?? 0);
+export const findEvidenceFor = (ratios: LogLikelihoodRatios): number =>
+  -(ratios[0] ?? 0);
--- a/packages/decisions/src/stage-belief.ts
+++ b/packages/decisions/src/stage-belief.ts
@@ -2,11 +2,11 @@
  * What is known of one model's answers to one kind of task: how often they
  * pass given the engine's own score, and how scores are spread.
  */
-import * as estimate from './logistic-estimate.js';
+import * as logisticRegression from './logistic-regression.js';
 
 /** Belief about one stage. Plain JSON. */
 export interface StageBelief {
-  readonly pass: estimate.LogisticBelief;
+  readonly pass: logisticRegression.LogisticBelief;
   /** Weighted counts of answers by score bin, the last bin for no score. */
   readonly direct: readonly number[];
   /** The same for answers after an earlier stage's was rejected. */
@@ -14,15 +14,15 @@
 }
 
 /** Cost of what follows a stage's answer. */
-export interface Stakes {
+export interface AnswerCosts {
   /** Price of passing on a bad answer. */
-  readonly badAnswer: number;
+  readonly badAnswerCost: number;
   /** What to expect of going on instead; an infinite loss at the end. */
-  readonly goingOn: Expectation;
+  readonly escalation: ExpectedOutcome;
 }
 
 /** What a plan is expected to come to. */
-export interface Expectation {
+export interface ExpectedOutcome {
   /** Costs and the price of bad answers. */
   readonly loss: number;
   /** Share of good answers. */
@@ -48,11 +48,11 @@
 /** Threshold that no score reaches. */
 const ACCEPT_NONE = 2;
 /** Coefficients: base, score, escalated, unscored. */
-const FIRST_MEAN = [0, 0.5, 0, 0];
-const FIRST_VARIANCE = [4, 0.5, 1, 1];
+const PRIOR_MEAN = [0, 0.5, 0, 0];
+const PRIOR_VARIANCE = [4, 0.5, 1, 1];
 
 const BIN_LOGITS = Array.from({length: BIN_COUNT}, (_, i) =>
-  estimate.boundedLogit((i + 0.5) / BIN_COUNT, LOGIT_LIMIT),
+  logisticRegression.boundedLogit((i + 0.5) / BIN_COUNT, LOGIT_LIMIT),
 );
 
 const createHistogram = (): readonly number[] =>
@@ -60,7 +60,7 @@
 
 /** The belief about a model never seen on this kind of task. */
 export const createStageBelief = (): StageBelief => ({
-  pass: estimate.createBelief(FIRST_MEAN, FIRST_VARIANCE),
+  pass: logisticRegression.createBelief(PRIOR_MEAN, PRIOR_VARIANCE),
   direct: createHistogram(),
   escalated: createHistogram(),
 });
@@ -80,7 +80,7 @@
 };
 
 /** Counts an answer's score, rated or not. */
-export const countScore = (
+export const recordScore = (
   belief: StageBelief,
   escalated: boolean,
   score: number | undefined,
@@ -92,17 +92,20 @@
 };
 
 /** Takes in the rating, 0 to 1, of an answer. */
-export const rateAnswer = (
+export const recordRating = (
   belief: StageBelief,
   escalated: boolean,
   score: number | undefined,
   rating: number,
 ): StageBelief => {
-  const x = score === undefined ? 0 : estimate.boundedLogit(score, LOGIT_LIMIT);
+  const x =
+    score === undefined
+      ? 0
+      : logisticRegression.boundedLogit(score, LOGIT_LIMIT);
   const features = [1, x, escalated ? 1 : 0, score === undefined ? 1 : 0];
   return {
     ...belief,
-    pass: estimate.updateBelief(belief.pass, features, rating),
+    pass: logisticRegression.updateBelief(belief.pass, features, rating),
   };
 };
 
@@ -112,11 +115,11 @@
   growth: number,
 ): StageBelief => ({
   ...belief,
-  pass: estimate.ageBelief(belief.pass, FIRST_VARIANCE, growth),
+  pass: logisticRegression.ageBelief(belief.pass, PRIOR_VARIANCE, growth),
 });
 
 /** Log odds of passing, without the score's part. */
-const findBase = (
+const findBaseLogit = (
   coefficients: readonly number[],
   escalated: boolean,
   unscored: boolean,
@@ -134,12 +137,12 @@
  * coefficients decide; the share of good answers is by the belief's mean, so
  * that a plan drawn to explore isn't credited with what it hopes for.
  */
-export const expectOutcome = (
+export const estimateOutcome = (
   belief: StageBelief,
   coefficients: readonly number[],
   escalated: boolean,
-  stakes: Stakes,
-): Expectation => {
+  costs: AnswerCosts,
+): ExpectedOutcome => {
   const histogram = escalated ? belief.escalated : belief.direct;
   const {mean} = belief.pass;
   let total = 0;
@@ -149,12 +152,12 @@
     const pass = findBinPass(coefficients, escalated, bin);
     const likely =
       coefficients === mean ? pass : findBinPass(mean, escalated, bin);
-    const bad = stakes.badAnswer * (1 - pass);
+    const bad = costs.badAnswerCost * (1 - pass);
     const count = histogram[bin] ?? 0;
-    const accepts = bad <= stakes.goingOn.loss;
+    const accepts = bad <= costs.escalation.loss;
     total += count;
-    loss += count * (accepts ? bad : stakes.goingOn.loss);
-    good += count * (accepts ? likely : stakes.goingOn.pass);
+    loss += count * (accepts ? bad : costs.escalation.loss);
+    good += count * (accepts ? likely : costs.escalation.pass);
   }
   return {loss: loss / total, pass: good / total};
 };
@@ -165,9 +168,9 @@
   bin: number,
 ): number => {
   const unscored = bin === UNSCORED_BIN;
-  const base = findBase(coefficients, escalated, unscored);
+  const base = findBaseLogit(coefficients, escalated, unscored);
   const score = unscored ? 0 : findSlope(coefficients) * (BIN_LOGITS[bin] ?? 0);
-  return estimate.sigmoid(base + score);
+  return logisticRegression.sigmoid(base + score);
 };
 
 /** Chance, by the mean of the belief, that an answer passes. */
@@ -177,24 +180,27 @@
   score: number | undefined,
 ): number => {
   const {mean} = belief.pass;
-  const x = score === undefined ? 0 : estimate.boundedLogit(score, LOGIT_LIMIT);
-  const base = findBase(mean, escalated, score === undefined);
-  return estimate.sigmoid(base + findSlope(mean) * x);
+  const x =
+    score === undefined
+      ? 0
+      : logisticRegression.boundedLogit(score, LOGIT_LIMIT);
+  const base = findBaseLogit(mean, escalated, score === undefined);
+  return logisticRegression.sigmoid(base + findSlope(mean) * x);
 };
 
 /** Which answers lose less by being passed on than by going on. */
 export const findAcceptance = (
   coefficients: readonly number[],
   escalated: boolean,
-  stakes: Stakes,
+  costs: AnswerCosts,
 ): Acceptance => {
-  const needed = 1 - stakes.goingOn.loss / stakes.badAnswer;
+  const needed = 1 - costs.escalation.loss / costs.badAnswerCost;
   if (needed <= 0) {
     return {threshold: 0, unscored: true};
   }
   const wanted = Math.log(needed / (1 - needed));
-  const unscored = findBase(coefficients, escalated, true) >= wanted;
-  const missing = wanted - findBase(coefficients, escalated, false);
+  const unscored = findBaseLogit(coefficients, escalated, true) >= wanted;
+  const missing = wanted - findBaseLogit(coefficients, escalated, false);
   const slope = findSlope(coefficients);
   if (missing <= -slope * LOGIT_LIMIT) {
     return {threshold: 0, unscored};
@@ -202,5 +208,5 @@
   if (missing > slope * LOGIT_LIMIT) {
     return {threshold: ACCEPT_NONE, unscored};
   }
-  return {threshold: estimate.sigmoid(missing / slope), unscored};
+  return {threshold: logisticRegression.sigmoid(missing / slope), unscored};
 };
--- a/packages/decisions/src/upstream-picker.ts
+++ b/packages/decisions/src/upstream-picker.ts
@@ -176,7 +176,7 @@
     const {random} = this.options;
     return {
       own: this.drawOwn(own, home, now),
-      other: sample.drawSome(other, DRAWN_OTHER_TIER, random),
+      other: sample.drawSample(other, DRAWN_OTHER_TIER, random),
     };
   }
 
@@ -193,9 +193,9 @@
     const part = this.partOfWork(now);
     const count = Math.max(LEAST_DRAWN, Math.ceil(part * candidates.length));
     const near = candidates.filter(candidate => candidate.zone === zone);
-    const drawn = sample.drawSome(near, Math.ceil(count / 2), random);
+    const drawn = sample.drawSample(near, Math.ceil(count / 2), random);
     const others = candidates.filter(candidate => !drawn.includes(candidate));
-    const rest = sample.drawSome(others, count - drawn.length, random);
+    const rest = sample.drawSample(others, count - drawn.length, random);
     const some = [...drawn, ...rest];
     const atHome = candidates.find(({id}) => id === home);
     return !atHome || some.includes(atHome) ? some : [...some, atHome];
--- a/packages/decisions/src/wait-policy.ts
+++ b/packages/decisions/src/wait-policy.ts
@@ -2,7 +2,7 @@
  * How long requests may wait for admission: long in a burst, short in a queue
  * that never empties, by priority and by the workspace's share.
  */
-import type * as fairShare from './fair-share.js';
+import type * as fairQueue from './fair-queue.js';
 import type * as slotPool from './slot-pool.js';
 import type * as standingQueue from './standing-queue.js';
 import type * as workspaceQueue from './workspace-queue.js';
@@ -29,7 +29,7 @@
  * Mean service times after which a filled queue counts as standing. Waits of
  * a burst's first moments set the tail, so it is short.
  */
-const STANDING_SERVICES = 0.25;
+const STANDING_AFTER_SERVICES = 0.25;
 
 /**
  * Wait allowed in a standing queue, in mean service times: enough to keep all
@@ -44,17 +44,17 @@
 export class WaitPolicy {
   constructor(
     private readonly slots: slotPool.SlotPool,
-    private readonly shares: fairShare.FairShare,
+    private readonly fairQueue: fairQueue.FairQueue,
     private readonly standing: standingQueue.StandingQueue,
   ) {}
 
   /** Share of the wait allowed that the expected wait may take. */
   waitShare(request: Request, workspace: Workspace, nowMs: number): number {
     // A workspace within its share is next, whoever else waits.
-    if (this.shares.isWithinShare(workspace)) {
+    if (this.fairQueue.isWithinShare(workspace)) {
       return ENTITLED_SHARE;
     }
-    return this.isKeptShort(request, nowMs) ? STANDING_SHARE : WAIT_SHARE;
+    return this.isOverloaded(request, nowMs) ? STANDING_SHARE : WAIT_SHARE;
   }
 
   /**
@@ -62,18 +62,18 @@
    * whole wait that a workspace allows, but a standing queue is kept short, as
    * by CoDel. Batch work may wait.
    */
-  isKeptShort(request: Request, nowMs: number): boolean {
+  isOverloaded(request: Request, nowMs: number): boolean {
     const standingMs = this.standing.standingMs(request.priority, nowMs);
-    const limitMs = STANDING_SERVICES * this.slots.meanServiceMs;
+    const limitMs = STANDING_AFTER_SERVICES * this.slots.meanServiceMs;
     return request.priority !== 'batch' && standingMs > limitMs;
   }
 
   /** Longest wait for admission now, in milliseconds. */
   maxWaitMs(request: Request, workspace: Workspace, nowMs: number): number {
-    if (!this.isKeptShort(request, nowMs)) {
+    if (!this.isOverloaded(request, nowMs)) {
       return request.maxWaitMs;
     }
-    const services = this.shares.isWithinShare(workspace)
+    const services = this.fairQueue.isWithinShare(workspace)
       ? ENTITLED_WAIT
       : STANDING_WAIT;
     return Math.min(request.maxWaitMs, services * this.slots.meanServiceMs);
--- a/packages/decisions/src/watch-roles.ts
+++ b/packages/decisions/src/watch-roles.ts
@@ -20,7 +20,7 @@
 }
 
 /** What an instance does about one kind of objects now. */
-export type WatchNeed =
+export type SyncMode =
   /** Keep a watch open, for itself and for others. */
   | 'watch'
   /** Ask the store once: what is known is too old. */
@@ -35,7 +35,7 @@
 const INSTANCES_PER_WATCHER = 24;
 
 /** Least watchers of a fleet: the others go on when one is lost. */
-const LEAST_WATCHERS = 2;
+const MIN_WATCHERS = 2;
 
 /**
  * Watchers that watch the store itself; the others are told by these. However
@@ -43,17 +43,17 @@
  * and a third where the loss of both would send hundreds to the store at once.
  */
 const STORE_WATCHERS = 2;
-const STORE_WATCHERS_OF_MANY = 3;
+const STORE_WATCHERS_OF_LARGE_FLEET = 3;
 
 /** Watchers from which on a fleet has three that watch the store. */
-const MANY_WATCHERS = 6;
+const LARGE_FLEET_WATCHERS = 6;
 
 /**
  * Part of the time within which a change must be in force that one watch
  * waits. Changes come at once, however long it waits; its end only shows that
  * the store still answers.
  */
-const WATCH_PART = 0.45;
+const WATCH_FRACTION = 0.45;
 
 /**
  * Age, as a part of that time, at which a watch ends at the latest, and the
@@ -61,27 +61,27 @@
  * known when it was asked for: after one that comes at the end of a watch,
  * another whole watch makes a watcher look as if it had lost the store.
  */
-const CONFIRMED_PART = 0.5;
-const LEAST_WATCH_PART = 0.1;
+const CONFIRMED_FRACTION = 0.5;
+const MIN_WATCH_FRACTION = 0.1;
 
 /**
  * Part of that time for which a watcher waits after changes. Much less than
  * instances may take to act on them.
  */
-const CHANGE_PAUSE_PART = 0.1;
+const CHANGE_PAUSE_FRACTION = 0.1;
 
 /**
  * Age, as a part of that time, from which what a watcher knows is too old: it
  * has lost the store, and another one is asked. More than one watch takes.
  */
-const STALE_PART = 0.6;
+const STALE_FRACTION = 0.6;
 
 /**
  * Part of that time after which an instance asks the store itself. It is more
  * than one watch and the way from the watcher take, so that a calm day never
  * comes to it, and leaves time for a call that has to be repeated.
  */
-const ASK_PART = 0.75;
+const ASK_FRACTION = 0.75;
 
 /** Names the ranking of instances; any fixed text does. */
 const ROLE_KEY = 'watch';
@@ -101,7 +101,7 @@
     members.map(({id, cores}) => ({id, weight: cores})),
   );
   const count = Math.max(
-    LEAST_WATCHERS,
+    MIN_WATCHERS,
     Math.ceil(ranked.length / INSTANCES_PER_WATCHER),
   );
   const placeInZone = new Map<string, number>();
@@ -124,7 +124,9 @@
 ): readonly string[] =>
   watchers.slice(
     0,
-    watchers.length < MANY_WATCHERS ? STORE_WATCHERS : STORE_WATCHERS_OF_MANY,
+    watchers.length < LARGE_FLEET_WATCHERS
+      ? STORE_WATCHERS
+      : STORE_WATCHERS_OF_LARGE_FLEET,
   );
 
 /**
@@ -139,13 +141,16 @@
 ): readonly string[] => {
   const zoneOf = new Map(members.map(({id, zone}) => [id, zone]));
   const watchers = findWatchers(members);
-  const tellers = watchers.includes(self.id)
+  const sources = watchers.includes(self.id)
     ? findStoreWatchers(watchers)
     : watchers;
-  const others = tellers.filter(id => id !== self.id);
+  const others = sources.filter(id => id !== self.id);
   const ranked = rendezvous.rankByRendezvous(self.id, others);
-  const isNear = (id: string) => zoneOf.get(id) === self.zone;
-  return [...ranked.filter(isNear), ...ranked.filter(id => !isNear(id))];
+  const isSameZone = (id: string) => zoneOf.get(id) === self.zone;
+  return [
+    ...ranked.filter(isSameZone),
+    ...ranked.filter(id => !isSameZone(id)),
+  ];
 };
 
 /**
@@ -153,10 +158,13 @@
  *
  * @param ageMs time since what is known was known to be complete.
  */
-export const findWatchMs = (boundMs: number, ageMs: number): number =>
+export const findWatchDurationMs = (boundMs: number, ageMs: number): number =>
   Math.min(
-    WATCH_PART * boundMs,
-    Math.max(LEAST_WATCH_PART * boundMs, CONFIRMED_PART * boundMs - ageMs),
+    WATCH_FRACTION * boundMs,
+    Math.max(
+      MIN_WATCH_FRACTION * boundMs,
+      CONFIRMED_FRACTION * boundMs - ageMs,
+    ),
   );
 
 /**
@@ -165,13 +173,15 @@
  * ten do in the time of one bound.
  */
 export const findChangePauseMs = (boundMs: number): number =>
-  CHANGE_PAUSE_PART * boundMs;
+  CHANGE_PAUSE_FRACTION * boundMs;
 
 /** Age, in ms, from which a watcher's word on such changes is too old. */
-export const findStaleMs = (boundMs: number): number => STALE_PART * boundMs;
+export const findStaleAfterMs = (boundMs: number): number =>
+  STALE_FRACTION * boundMs;
 
 /** Age, in ms, from which an instance asks for changes due within `boundMs`. */
-export const findAskMs = (boundMs: number): number => ASK_PART * boundMs;
+export const findAskAfterMs = (boundMs: number): number =>
+  ASK_FRACTION * boundMs;
 
 /**
  * What to do about a kind whose changes must be in force within `boundMs`.
@@ -179,13 +189,13 @@
  * @param watchesStore whether the instance is one of those that watch it.
  * @param ageMs time since what is known was known to be complete.
  */
-export const findWatchNeed = (
+export const findSyncMode = (
   watchesStore: boolean,
   ageMs: number,
   boundMs: number,
-): WatchNeed => {
+): SyncMode => {
   if (watchesStore) {
     return 'watch';
   }
-  return ageMs > findAskMs(boundMs) ? 'ask' : 'none';
+  return ageMs > findAskAfterMs(boundMs) ? 'ask' : 'none';
 };
--- a/packages/decisions/src/workspace-queue.ts
+++ b/packages/decisions/src/workspace-queue.ts
@@ -117,7 +117,7 @@
   }
 
   /** Takes a waiting request out; its place in the heap is swept later. */
-  leave(entry: QueuedRequest): void {
+  remove(entry: QueuedRequest): void {
     entry.state = 'left';
     this.queued--;
     this.queuedServiceMs -= entry.serviceMs;
--- a/packages/decisions/tests/load.test.ts
+++ b/packages/decisions/tests/admission-queue-load.test.ts
@@ -1,25 +1,25 @@
 import * as chai from 'chai';
 import * as decisions from '@amaranthknot/decisions';
-import * as fixture from './load-fixture.js';
+import * as loadFixture from './load-fixture.js';
 
 const CAPACITY = 8;
 const SERVICE_MS = 200;
 /** Requests a second that the slots can do. */
 const RATE = (CAPACITY * 1000) / SERVICE_MS;
 
-const createGate = (): decisions.AdmissionQueue =>
+const createQueue = (): decisions.AdmissionQueue =>
   new decisions.AdmissionQueue({
     capacity: CAPACITY,
-    random: fixture.createRandom(1),
+    random: loadFixture.createRandom(1),
   });
 
 const createLoad = (
   workspaces: readonly string[],
   load: number,
-  options: Partial<fixture.DemandOptions> = {},
-): readonly fixture.Demand[] =>
+  options: Partial<loadFixture.DemandOptions> = {},
+): readonly loadFixture.Demand[] =>
   workspaces.flatMap((workspace, i) =>
-    fixture.createDemand({
+    loadFixture.createDemand({
       workspace,
       ratePerSecond: (load * RATE) / workspaces.length,
       untilMs: 30_000,
@@ -31,21 +31,25 @@
 
 const SMALL = ['small-0', 'small-1', 'small-2', 'small-3'];
 
-const answered = (outcomes: readonly fixture.Outcome[]) =>
+const answered = (outcomes: readonly loadFixture.Outcome[]) =>
   outcomes.filter(({answers}) => answers[0] === 'answered');
 
-const inTime = (outcomes: readonly fixture.Outcome[]) =>
+const inTime = (outcomes: readonly loadFixture.Outcome[]) =>
   answered(outcomes).filter(
     ({demand, endedMs}) => endedMs! <= demand.request.deadlineMs,
   );
 
-const findWaits = (outcomes: readonly fixture.Outcome[]): readonly number[] =>
+const findWaits = (
+  outcomes: readonly loadFixture.Outcome[],
+): readonly number[] =>
   answered(outcomes)
     .map(({demand, startedMs}) => startedMs! - demand.atMs)
     .sort((a, b) => a - b);
 
-const ofWorkspace = (outcomes: readonly fixture.Outcome[], prefix: string) =>
-  outcomes.filter(({demand}) => demand.request.workspace.startsWith(prefix));
+const ofWorkspace = (
+  outcomes: readonly loadFixture.Outcome[],
+  prefix: string,
+) => outcomes.filter(({demand}) => demand.request.workspace.startsWith(prefix));
 
 describe('admission under load', () => {
   const loads = [
@@ -59,8 +63,8 @@
     // is begun in order of arrival, whether or not its caller still waits.
     it(`answers what it can in time at ${name}`, () => {
       const demands = createLoad(SMALL, load);
-      const outcomes = fixture.runLoad(createGate(), demands);
-      chai.expect(fixture.checkHistory(outcomes, CAPACITY)).deep.equal([]);
+      const outcomes = loadFixture.runLoad(createQueue(), demands);
+      chai.expect(loadFixture.checkHistory(outcomes, CAPACITY)).deep.equal([]);
       chai.expect(inTime(outcomes).length).at.least(least * demands.length);
     });
   }
@@ -70,9 +74,9 @@
   it('keeps small workspaces going when a large one rushes', () => {
     const small = createLoad(SMALL, 0.4);
     const large = createLoad(['large'], 4, {seed: 99});
-    const outcomes = fixture.runLoad(createGate(), [...small, ...large]);
+    const outcomes = loadFixture.runLoad(createQueue(), [...small, ...large]);
     const waits = findWaits(ofWorkspace(outcomes, 'small'));
-    chai.expect(fixture.checkHistory(outcomes, CAPACITY)).deep.equal([]);
+    chai.expect(loadFixture.checkHistory(outcomes, CAPACITY)).deep.equal([]);
     chai.expect(waits.length).at.least(0.95 * small.length);
     chai.expect(waits[Math.floor(waits.length * 0.95)]).below(2 * SERVICE_MS);
   });
@@ -87,7 +91,7 @@
       deadlineMs: 60_000,
     });
     const checks = createLoad(['door'], 0.1, {priority: 'door_check'});
-    const outcomes = fixture.runLoad(createGate(), [...long, ...checks]);
+    const outcomes = loadFixture.runLoad(createQueue(), [...long, ...checks]);
     const done = answered(ofWorkspace(outcomes, 'door'));
     const times = done
       .map(({demand, endedMs}) => endedMs! - demand.atMs)
@@ -100,76 +104,76 @@
   });
 
   it('refuses at once in a rush that lasts, with few given up on', () => {
-    const outcomes = fixture.runLoad(createGate(), createLoad(SMALL, 3));
+    const outcomes = loadFixture.runLoad(createQueue(), createLoad(SMALL, 3));
     const refused = outcomes.filter(({answers}) => answers[0] === 'refused');
     const late = refused.filter(o => o.endedMs! > o.demand.atMs);
     chai.expect(late.length).at.most(0.05 * refused.length);
   });
 });
 
-interface Planted {
+interface InjectedFault {
   readonly name: string;
   readonly fault: RegExp;
-  readonly plant: (gate: decisions.AdmissionQueue) => fixture.Gate;
+  readonly inject: (queue: decisions.AdmissionQueue) => loadFixture.TestedQueue;
 }
 
 /** Wraps the real queue with one fault. */
-const PLANTED: readonly Planted[] = [
+const INJECTED_FAULTS: readonly InjectedFault[] = [
   {
     name: 'a request given up on that gets no answer',
     fault: /has 0 answers/,
-    plant: gate => ({
-      offer: (request, nowMs) => gate.offer(request, nowMs),
-      release: (id, nowMs) => gate.release(id, nowMs),
-      expire: nowMs => gate.expire(nowMs).slice(1),
+    inject: queue => ({
+      offer: (request, nowMs) => queue.offer(request, nowMs),
+      release: (id, nowMs) => queue.release(id, nowMs),
+      expire: nowMs => queue.expire(nowMs).slice(1),
     }),
   },
   {
     name: 'a refusal without when to come back',
     fault: /without when to come back/,
-    plant: gate => ({
+    inject: queue => ({
       offer: (request, nowMs) => {
-        const outcome = gate.offer(request, nowMs);
+        const outcome = queue.offer(request, nowMs);
         return outcome.kind === 'refused'
           ? {...outcome, retryAfterMs: 0}
           : outcome;
       },
-      release: (id, nowMs) => gate.release(id, nowMs),
-      expire: nowMs => gate.expire(nowMs),
+      release: (id, nowMs) => queue.release(id, nowMs),
+      expire: nowMs => queue.expire(nowMs),
     }),
   },
   {
     name: 'a slot given twice',
     fault: /more requests ran/,
-    plant: gate => ({
+    inject: queue => ({
       offer: (request, nowMs) => {
-        const outcome = gate.offer(request, nowMs);
+        const outcome = queue.offer(request, nowMs);
         if (outcome.kind === 'refused') {
           return {kind: 'admitted'};
         }
         return outcome;
       },
-      release: (id, nowMs) => gate.release(id, nowMs),
-      expire: nowMs => gate.expire(nowMs),
+      release: (id, nowMs) => queue.release(id, nowMs),
+      expire: nowMs => queue.expire(nowMs),
     }),
   },
   {
     name: 'a deadline that is not looked at',
     fault: /started after its deadline/,
-    plant: gate => ({
+    inject: queue => ({
       offer: (request, nowMs) =>
-        gate.offer(
+        queue.offer(
           {...request, deadlineMs: nowMs + 1e6, maxWaitMs: 1e6},
           nowMs,
         ),
-      release: (id, nowMs) => gate.release(id, nowMs),
-      expire: nowMs => gate.expire(nowMs),
+      release: (id, nowMs) => queue.release(id, nowMs),
+      expire: nowMs => queue.expire(nowMs),
     }),
   },
 ];
 
 describe('the check of histories', () => {
-  for (const {name, fault, plant} of PLANTED) {
+  for (const {name, fault, inject} of INJECTED_FAULTS) {
     it(`sees ${name}`, () => {
       // Upstreams turn slow at 10 s, so that some who wait are given up on.
       const demands = createLoad(SMALL, 3, {
@@ -179,8 +183,8 @@
         ...demand,
         serviceMs: demand.serviceMs * (demand.atMs > 10_000 ? 10 : 1),
       }));
-      const outcomes = fixture.runLoad(plant(createGate()), demands);
-      const faults = fixture.checkHistory(outcomes, CAPACITY);
+      const outcomes = loadFixture.runLoad(inject(createQueue()), demands);
+      const faults = loadFixture.checkHistory(outcomes, CAPACITY);
       chai.expect(faults.join('\n')).match(fault);
     });
   }
--- a/packages/decisions/tests/load-fixture.ts
+++ b/packages/decisions/tests/load-fixture.ts
@@ -4,7 +4,7 @@
 import * as generator from 'pure-rand/generator/xoroshiro128plus';
 
 /** The part of an admission queue that callers meet. */
-export type Gate = Pick<
+export type TestedQueue = Pick<
   decisions.AdmissionQueue,
   'offer' | 'release' | 'expire'
 >;
@@ -75,7 +75,7 @@
 
 /** Runs demands in order of time; everything that ends is released. */
 export const runLoad = (
-  gate: Gate,
+  queue: TestedQueue,
   demands: readonly Demand[],
 ): readonly Outcome[] => {
   const sorted = [...demands].sort((a, b) => a.atMs - b.atMs);
@@ -101,7 +101,7 @@
     update(id, {startedMs: nowMs});
   };
   const expire = (nowMs: number): void => {
-    for (const {request, retryAfterMs} of gate.expire(nowMs)) {
+    for (const {request, retryAfterMs} of queue.expire(nowMs)) {
       end(request.id, 'refused', {endedMs: nowMs, retryAfterMs});
     }
   };
@@ -110,13 +110,13 @@
       const {id, endMs} = running.pop()!;
       end(id, 'answered', {endedMs: endMs});
       expire(endMs);
-      gate.release(id, endMs).forEach(next => start(next.id, endMs));
+      queue.release(id, endMs).forEach(next => start(next.id, endMs));
     }
     expire(nowMs);
   };
   for (const {atMs, request} of sorted) {
     finishUntil(atMs);
-    const outcome = gate.offer(request, atMs);
+    const outcome = queue.offer(request, atMs);
     if (outcome.kind === 'admitted') {
       start(request.id, atMs);
     } else if (outcome.kind === 'refused') {
--- a/packages/decisions/tests/rate-limits.test.ts
+++ b/packages/decisions/tests/rate-limits.test.ts
@@ -29,8 +29,8 @@
 /** Requests that may be sent at once. */
 const countFree = ({limits}: Setup, id: string): number => {
   let count = 0;
-  while (limits.mayTake(id) && count < 1_000) {
-    limits.noteSend(id);
+  while (limits.maySend(id) && count < 1_000) {
+    limits.recordSend(id);
     count++;
   }
   return count;
@@ -40,7 +40,7 @@
   it('are told when they are named, change by much, and are lifted', () => {
     const {limits, told} = setUp();
     [undefined, 2, 2.1, 4, undefined, undefined].forEach(perSecond => {
-      limits.note('u', perSecond);
+      limits.record('u', perSecond);
     });
     chai.expect(told).eql([2, 4, undefined]);
     chai.expect(limits.find('u')).equal(undefined);
@@ -48,13 +48,13 @@
 
   it('do not bind upstreams that name none', () => {
     const setup = setUp();
-    setup.limits.note('u', 1);
+    setup.limits.record('u', 1);
     chai.expect(countFree(setup, 'other')).equal(1_000);
   });
 
   it('are shared out among all instances', () => {
     const setup = setUp(['a', 'b', 'c', 'd']);
-    setup.limits.note('u', 10);
+    setup.limits.record('u', 10);
     chai.expect(countFree(setup, 'u')).equal(10);
     setup.wait(4_000);
     chai.expect(countFree(setup, 'u')).equal(10);
@@ -63,7 +63,7 @@
   it('let one request pass now and then however low they are', () => {
     // Only an answer says that a limit is lifted.
     const setup = setUp();
-    setup.limits.note('u', 0);
+    setup.limits.record('u', 0);
     chai.expect(countFree(setup, 'u')).equal(1);
     setup.wait(9_000);
     chai.expect(countFree(setup, 'u')).equal(0);
@@ -74,27 +74,27 @@
   it('count what was sent before they were named', () => {
     const setup = setUp();
     Array.from({length: 3}, () => {
-      setup.limits.noteSend('u');
+      setup.limits.recordSend('u');
     });
-    setup.limits.note('u', 1);
+    setup.limits.record('u', 1);
     chai.expect(countFree(setup, 'u')).equal(1);
   });
 
   it('are known from another instance, with the age of its word', () => {
     const {limits, wait} = setUp();
     wait(5_000);
-    limits.hear([{id: 'u', perSecond: 3, ageMs: 400}]);
+    limits.merge([{id: 'u', perSecond: 3, ageMs: 400}]);
     wait(100);
     chai.expect(limits.report()).eql([{id: 'u', perSecond: 3, ageMs: 500}]);
   });
 
   it('stay lifted before word that is older', () => {
     const {limits, wait} = setUp();
-    limits.note('u', 3);
+    limits.record('u', 3);
     wait(5_000);
-    limits.note('u', undefined);
+    limits.record('u', undefined);
     wait(200);
-    limits.hear([{id: 'u', perSecond: 3, ageMs: 300}]);
+    limits.merge([{id: 'u', perSecond: 3, ageMs: 300}]);
     chai.expect(limits.find('u')).equal(undefined);
   });
 
@@ -102,10 +102,10 @@
     const {limits, wait} = setUp();
     const isTold = () => limits.report().length === 1;
     wait(5_000);
-    limits.note('u', 3);
+    limits.record('u', 3);
     chai.expect(isTold()).equal(true);
     wait(4_000);
-    limits.note('u', 3.1);
+    limits.record('u', 3.1);
     chai.expect(isTold()).equal(false);
     wait(11_500);
     chai.expect(isTold()).equal(true);
@@ -113,7 +113,7 @@
 
   it('are forgotten when nobody has heard of them for long', () => {
     const {limits, wait} = setUp();
-    limits.note('u', 3);
+    limits.record('u', 3);
     wait(30_000);
     chai.expect(limits.find('u')).equal(3);
     wait(31_000);
@@ -122,8 +122,8 @@
 
   it('are forgotten with their upstream', () => {
     const {limits} = setUp();
-    limits.note('u', 3);
-    limits.keepOnly(new Set());
+    limits.record('u', 3);
+    limits.retain(new Set());
     chai.expect(limits.find('u')).equal(undefined);
   });
 });
--- a/packages/decisions/tests/repeat-budget.test.ts
+++ b/packages/decisions/tests/repeat-budget.test.ts
@@ -42,7 +42,7 @@
     for (let second = 0; second < 100; second++) {
       const isDoubtful = random() < 0.4;
       for (let i = 0; i < 4; i++) {
-        budget.noteRequest(SERVICE);
+        budget.recordRequest(SERVICE);
       }
       wait(500);
       for (let i = 0; i < 4 && isDoubtful; i++) {
@@ -65,7 +65,7 @@
     for (let step = 0; step < 6_000; step++) {
       const isBusy = Math.floor(step / 600) % 2 === 0;
       if (random() < (isBusy ? 0.5 : 0.02)) {
-        budget.noteRequest(SERVICE);
+        budget.recordRequest(SERVICE);
         requests.push(now());
       }
       while (random() < 0.8 && budget.take(SERVICE)) {
--- a/packages/decisions/tests/rollout-guard.test.ts
+++ b/packages/decisions/tests/rollout-evaluation.test.ts
@@ -15,9 +15,9 @@
   bad,
 });
 
-const createLook = (
+const createInput = (
   evidence: decisions.EvidenceByInstance,
-): decisions.RolloutLook => ({
+): decisions.RolloutInput => ({
   steps: STEPS,
   evidence,
   requestRate: 20,
@@ -29,10 +29,10 @@
   new: createCounts(2_000, newBad),
 });
 
-const look = (
+const evaluate = (
   state: decisions.RolloutState,
   evidence: decisions.EvidenceByInstance,
-) => decisions.lookAtRollout(state, createLook(evidence));
+) => decisions.evaluateRollout(state, createInput(evidence));
 
 describe('roll-out guard', () => {
   const cases = [
@@ -43,7 +43,7 @@
   for (const {name, bad, kind} of cases) {
     it(name, () => {
       const start = decisions.createRolloutState();
-      const {decision} = look(start, {a: createEvidence(bad)});
+      const {decision} = evaluate(start, {a: createEvidence(bad)});
       chai.expect(decision.kind).to.equal(kind);
     });
   }
@@ -52,14 +52,14 @@
     const evidence = createEvidence(100);
     const failing = {...evidence, new: {...evidence.new, errors: 40}};
     const start = decisions.createRolloutState();
-    const {decision} = look(start, {a: failing});
+    const {decision} = evaluate(start, {a: failing});
     chai.expect(decision).to.include({kind: 'stop', reason: 'errors'});
   });
 
   it('keeps a stopped version stopped', () => {
     const start = decisions.createRolloutState();
-    const stopped = look(start, {a: createEvidence(300)}).state;
-    const {decision} = look(stopped, {b: createEvidence(10)});
+    const stopped = evaluate(start, {a: createEvidence(300)}).state;
+    const {decision} = evaluate(stopped, {b: createEvidence(10)});
     chai.expect(decision.kind).to.equal('stop');
   });
 
@@ -70,8 +70,8 @@
     const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
     const all = Object.fromEntries(ids.map(id => [id, part]));
     const start = decisions.createRolloutState();
-    chai.expect(look(start, {a: part}).decision.kind).not.to.equal('stop');
-    chai.expect(look(start, all).decision.kind).to.equal('stop');
+    chai.expect(evaluate(start, {a: part}).decision.kind).not.to.equal('stop');
+    chai.expect(evaluate(start, all).decision.kind).to.equal('stop');
   });
 
   // The driver is lost after its look; the next resumes from the stored JSON
@@ -80,19 +80,22 @@
   it('judges no evidence twice when another driver resumes', () => {
     const early = {a: {old: createCounts(500, 20), new: createCounts(50, 5)}};
     const late = {a: {old: createCounts(900, 40), new: createCounts(90, 8)}};
-    const first = look(decisions.createRolloutState(), late).state;
+    const first = evaluate(decisions.createRolloutState(), late).state;
     const json = JSON.parse(JSON.stringify(first)) as decisions.RolloutState;
-    const again = look(look(json, late).state, early).state;
+    const again = evaluate(evaluate(json, late).state, early).state;
     chai.expect(again.ratings).to.deep.equal(first.ratings);
     chai.expect(again.rated).to.equal(first.rated);
   });
 
   it('hands out little at a high rate before ratings come', () => {
-    const {decision} = decisions.lookAtRollout(decisions.createRolloutState(), {
-      ...createLook({}),
-      requestRate: 15_000,
-      ratingDelay: 30,
-    });
+    const {decision} = decisions.evaluateRollout(
+      decisions.createRolloutState(),
+      {
+        ...createInput({}),
+        requestRate: 15_000,
+        ratingDelay: 30,
+      },
+    );
     chai.expect(decision.share * 15_000 * 30).to.be.at.most(20.001);
   });
 });
@@ -130,10 +133,10 @@
   }
 });
 
-describe('shareRatings', () => {
+describe('allocateRatings', () => {
   for (const share of [0, 0.005, 0.02, 0.1, 0.5, 1]) {
     it(`keeps to the budget at a share of ${share}`, () => {
-      const ratings = decisions.shareRatings(share, 0.1);
+      const ratings = decisions.allocateRatings(share, 0.1);
       const spent = ratings.new * share + ratings.old * (1 - share);
       chai.expect(spent).to.be.at.most(0.1 + 1e-9);
     });
--- a/packages/decisions/tests/rollout-schedule.test.ts
+++ b/packages/decisions/tests/rollout-schedule.test.ts
@@ -24,15 +24,15 @@
 ): decisions.EvidenceByRoute =>
   new Map([['route-1', {'instance-1.1': {old, new: fresh}}]]);
 
-const outlookAt = (
+const conditionsAt = (
   ageMs: number,
   verdict: decisions.VersionVerdict,
-  leadMs = 3_000,
-): decisions.RolloutOutlook => ({
+  fullTrafficMs = 3_000,
+): decisions.RolloutConditions => ({
   timing: {...TIMING, ageMs},
   verdict,
   limit: LIMIT,
-  leadMs,
+  fullTrafficMs,
 });
 
 describe('rollout schedule', () => {
@@ -128,7 +128,7 @@
   it('tries a version in its lead that has failed a little more', () => {
     const evidence = evidenceOf(countsOf(117, 3), countsOf(21, 2));
     const verdict = decisions.judgeVersion(evidence);
-    const share = decisions.findRolloutShare(outlookAt(21_100, verdict));
+    const share = decisions.findRolloutShare(conditionsAt(21_100, verdict));
     chai.expect(share).equal(1);
   });
 
@@ -200,7 +200,7 @@
 
   shares.forEach(({name, ageMs, verdict, share}) => {
     it(`gives the new version ${share} ${name}`, () => {
-      const found = decisions.findRolloutShare(outlookAt(ageMs, verdict));
+      const found = decisions.findRolloutShare(conditionsAt(ageMs, verdict));
       chai.expect(found).closeTo(share, 1e-9);
     });
   });
@@ -224,7 +224,7 @@
         timing,
         verdict: 'good',
         limit: LIMIT,
-        leadMs: decisions.findLeadMs(timing, evidence, LIMIT),
+        fullTrafficMs: decisions.findFullTrafficMs(timing, evidence, LIMIT),
       });
       const requests = (rateAt(ageMs) * STEP_MS) / 1_000;
       fresh += share * requests;
--- a/packages/decisions/tests/watch-roles.test.ts
+++ b/packages/decisions/tests/watch-roles.test.ts
@@ -112,22 +112,22 @@
     chai.expect(Math.max(...load.values())).below(2 * (96 / watchers.length));
   });
 
-  const needs: readonly {
+  const modes: readonly {
     readonly name: string;
     readonly isWatcher: boolean;
     readonly ageMs: number;
-    readonly need: decisions.WatchNeed;
+    readonly mode: decisions.SyncMode;
   }[] = [
-    {name: 'a watcher', isWatcher: true, ageMs: 0, need: 'watch'},
-    {name: 'one that is told', isWatcher: false, ageMs: 1_000, need: 'none'},
-    {name: 'one told nothing', isWatcher: false, ageMs: 1_600, need: 'ask'},
-    {name: 'one just started', isWatcher: false, ageMs: Infinity, need: 'ask'},
+    {name: 'a watcher', isWatcher: true, ageMs: 0, mode: 'watch'},
+    {name: 'one that is told', isWatcher: false, ageMs: 1_000, mode: 'none'},
+    {name: 'one told nothing', isWatcher: false, ageMs: 1_600, mode: 'ask'},
+    {name: 'one just started', isWatcher: false, ageMs: Infinity, mode: 'ask'},
   ];
 
-  needs.forEach(({name, isWatcher, ageMs, need}) => {
-    it(`lets ${name} ${need}`, () => {
-      const found = decisions.findWatchNeed(isWatcher, ageMs, 2_000);
-      chai.expect(found).equal(need);
+  modes.forEach(({name, isWatcher, ageMs, mode}) => {
+    it(`lets ${name} ${mode}`, () => {
+      const found = decisions.findSyncMode(isWatcher, ageMs, 2_000);
+      chai.expect(found).equal(mode);
     });
   });
 
@@ -137,10 +137,10 @@
     // took their watcher for one that has lost the store and left it.
     const boundMs = 2_000;
     for (let eventAtMs = 0; eventAtMs <= boundMs; eventAtMs += 50) {
-      const first = decisions.findWatchMs(boundMs, 0);
+      const first = decisions.findWatchDurationMs(boundMs, 0);
       const ageMs = Math.min(first, eventAtMs);
-      const second = decisions.findWatchMs(boundMs, ageMs);
-      const staleMs = decisions.findStaleMs(boundMs);
+      const second = decisions.findWatchDurationMs(boundMs, ageMs);
+      const staleMs = decisions.findStaleAfterMs(boundMs);
       chai.expect(ageMs + second).below(staleMs);
     }
   });
--- a/packages/entry/src/rollout-driver.ts
+++ b/packages/entry/src/rollout-driver.ts
@@ -117,7 +117,7 @@
   );
   const before = held.stored.state;
   const fresh = countRequests(evidence) - countRequests(before.judged);
-  const {state, decision} = decisions.lookAtRollout(before, {
+  const {state, decision} = decisions.evaluateRollout(before, {
     steps: rollout.steps,
     evidence,
     requestRate: Math.max(0, fresh) / seconds,
--- a/packages/gateway/src/followed-order.ts
+++ b/packages/gateway/src/followed-order.ts
@@ -201,14 +201,14 @@
     };
   }
 
-  private outlook(): decisions.RolloutOutlook {
+  private outlook(): decisions.RolloutConditions {
     const timing = this.timing();
     const {limit} = this.options;
     return {
       timing,
       verdict: this.verdict,
       limit,
-      leadMs: decisions.findLeadMs(
+      fullTrafficMs: decisions.findFullTrafficMs(
         timing,
         decisions.sumEvidence(this.currentEvidence()),
         limit,
--- a/packages/gateway/src/upstream-placement.ts
+++ b/packages/gateway/src/upstream-placement.ts
@@ -89,7 +89,7 @@
     if (isRepeat) {
       return repeats.take(name);
     }
-    repeats.noteRequest(name);
+    repeats.recordRequest(name);
     return true;
   }
 
@@ -133,7 +133,7 @@
       !isZoneOut(upstream.zone) &&
       this.isAtHome(upstream, request) &&
       this.mayBearMore(upstream, coldUntilMs, request.service) &&
-      this.options.limits.mayTake(upstream.id)
+      this.options.limits.maySend(upstream.id)
     );
   }
 
@@ -171,7 +171,7 @@
     const {rollouts} = this.options;
     const startedAtMs = this.options.now();
     this.noteColdSend(known, startedAtMs);
-    this.options.limits.noteSend(upstream.id);
+    this.options.limits.recordSend(upstream.id);
     const ticket = this.options.picker.start(upstream.id, pickWork);
     const work = {
       service: toPlace.request.service.name,
