--- a/packages/amaranthknot/src/gateway/fleet-report.ts
+++ b/packages/amaranthknot/src/gateway/fleet-report.ts
@@ -155,7 +155,7 @@
     get('members').takeTold(name, membersVersion, members, now);
     get('picker').hear(WATCHER, upstreams, 'others');
     get('limits').merge(limits);
-    get('rollouts').takeSums(rollouts, evidence);
+    get('rollouts').applySums(rollouts, evidence);
     this.toldSessions = {
       watcher: name,
       sent: this.reportedCounts,
--- a/packages/amaranthknot/src/gateway/gateway-instance.ts
+++ b/packages/amaranthknot/src/gateway/gateway-instance.ts
@@ -37,7 +37,7 @@
 export class GatewayInstance {
   private readonly get: gatewayTokens.ResolveGateway;
   private readonly ending = new AbortController();
-  private sideServers: readonly gateway.SideServer[] = [];
+  private sideServers: readonly gateway.AuxiliaryServer[] = [];
   private stopping = false;
   private readonly loops: instanceLoops.InstanceLoops;
 
@@ -114,7 +114,7 @@
     get('log').belief('instance_stopping', {inProgress});
     get('members').setPhase('leaving');
     get('gateway').beginStop({
-      takesAllUntilMs: startedAt + ALL_TAKEN_MS,
+      acceptsAllUntilMs: startedAt + ALL_TAKEN_MS,
       endsAtMs: end,
     });
     void get('exchange').tellWatchers();
@@ -181,7 +181,7 @@
     zone,
     region,
     callerHost,
-  }: gateway.DirectoryQuestion): unknown {
+  }: gateway.DirectoryQuery): unknown {
     const {settings, clock} = this.options;
     const members = this.get('members');
     const now = clock.now();
--- a/packages/amaranthknot/src/gateway/gateway-state.ts
+++ b/packages/amaranthknot/src/gateway/gateway-state.ts
@@ -66,7 +66,7 @@
   }
 
   /** The configuration in force, if any is known. */
-  inForce(): gateway.TableInForce | undefined {
+  inForce(): gateway.ActiveTable | undefined {
     const {views, now} = this.options;
     return (
       this.table && {
@@ -123,7 +123,7 @@
 
   /** Drops what is overdue. */
   tick(): void {
-    this.options.catalog.tick(this.options.now(), this.isStoreCalm());
+    this.options.catalog.expire(this.options.now(), this.isStoreCalm());
   }
 
   /** Takes in that a view has changed or was confirmed. */
@@ -233,7 +233,7 @@
   }
 
   private takeRollouts(view: fleet.KindView): void {
-    this.options.rollouts.takeOrders(
+    this.options.rollouts.applyRollouts(
       [...view.objects.values()].flatMap(
         object => platform.decodeRollout(object) ?? [],
       ),
--- a/packages/amaranthknot/src/gateway/gateway-tokens.ts
+++ b/packages/amaranthknot/src/gateway/gateway-tokens.ts
@@ -35,7 +35,7 @@
   readonly log: telemetry.DecisionLog;
   readonly metrics: telemetry.GatewayMetrics;
   readonly latencies: decisions.LatencyBook;
-  readonly capable: gateway.CapableModels;
+  readonly capable: gateway.EscalationPolicy;
   readonly store: ports.StatusStore;
   readonly views: gatewayState.Views;
   readonly state: gatewayState.GatewayState;
--- a/packages/amaranthknot/src/gateway/instance-loops.ts
+++ b/packages/amaranthknot/src/gateway/instance-loops.ts
@@ -85,7 +85,7 @@
     while (!signal.aborted) {
       this.updatePhase();
       get('state').tick();
-      get('rollouts').step();
+      get('rollouts').reportDueEnds();
       this.lookSometimes(clock.now());
       get('log').tick();
       this.reloadSometimes(clock.now());
--- a/packages/amaranthknot/src/gateway/wiring/request-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/request-factories.ts
@@ -21,7 +21,7 @@
   | 'gateway'
   | 'callerServer';
 
-const DIALECT: gateway.Dialect = {
+const DIALECT: gateway.HeaderConventions = {
   headers: platform.HEADER_NAMES,
   instanceOnlyHeaders: platform.INSTANCE_ONLY_HEADERS,
 };
@@ -43,7 +43,7 @@
   }
   const known = get('catalog').all();
   const ids = new Set(known.map(({upstream}) => upstream.id));
-  get('pool').keepOnly(ids);
+  get('pool').retain(ids);
   get('picker').keepOnly(ids);
   get('limits').retain(ids);
 };
@@ -71,7 +71,7 @@
       );
       return written.isRight();
     },
-    rank: () => {
+    reportRank: () => {
       const self = get('members').self.id;
       const serving = get('members').serving(clock.now());
       return serving.filter(({id}) => id < self).length;
@@ -114,11 +114,11 @@
     random,
     log: get('log'),
     latencies: get('latencies'),
-    capable: get('capable'),
+    escalation: get('capable'),
     probe: gateway.createProbe(clock),
-    whenKnowing: () =>
+    whenSynced: () =>
       Promise.race([get('state').whenKnowing(), clock.sleep(HOLD_AT_START_MS)]),
-    dialect: DIALECT,
+    headerConventions: DIALECT,
     place: toPlace => get('placement').place(toPlace),
     openCall: gateway.createOpenCall(
       get('pool'),
@@ -128,13 +128,13 @@
       },
     ),
     refreshTable: () => get('refresh').run(),
-    inForce: () => get('state').inForce(),
-    onEnd: sample => {
+    activeTable: () => get('state').inForce(),
+    onRequestEnd: sample => {
       get('metrics').noteRequest(sample);
     },
-    tableAges: {
-      forKeys: gatewayState.KEY_AGE_SHARE * change.revocationMs,
-      forDenials: gatewayState.DENIAL_AGE_SHARE * change.configurationMs,
+    tableAgeLimits: {
+      keyChecksMs: gatewayState.KEY_AGE_SHARE * change.revocationMs,
+      denialsMs: gatewayState.DENIAL_AGE_SHARE * change.configurationMs,
     },
   });
 };
@@ -145,7 +145,7 @@
 ): gatewayTokens.PartFactories<RequestPart> => ({
   latencies: () => new decisions.LatencyBook(),
   capable: get =>
-    new gateway.CapableModels({
+    new gateway.EscalationPolicy({
       now: () => options.clock.now(),
       catalog: get('catalog'),
       picker: get('picker'),
--- a/packages/amaranthknot/tests/gateway/fleet-report.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-report.test.ts
@@ -48,10 +48,10 @@
     sessionMs: 5_000,
     limit: {share: 0.15, slack: 30},
     report: () => Promise.resolve(false),
-    rank: () => 0,
+    reportRank: () => 0,
     log,
   });
-  rollouts.takeOrders([
+  rollouts.applyRollouts([
     {
       service: 'engines',
       version: 'v2',
@@ -185,9 +185,9 @@
       isStream: false,
     };
     for (const {rollouts} of [...watchers, ...followers]) {
-      const sign = {...work, isBad: false, firstByteMs: 10};
-      rollouts.note({...sign, version: 'v1'});
-      rollouts.note({...sign, version: 'v2'});
+      const sign = {...work, isError: false, firstByteMs: 10};
+      rollouts.recordAttempt({...sign, version: 'v1'});
+      rollouts.recordAttempt({...sign, version: 'v2'});
     }
     await run(2_000);
     for (const {rollouts} of watchers) {
--- a/packages/amaranthknot/tests/gateway/named-limits.test.ts
+++ b/packages/amaranthknot/tests/gateway/named-limits.test.ts
@@ -61,7 +61,7 @@
 
   const answer = async (
     {get}: virtualFleet.VirtualInstance,
-    placed: gateway.PlacedTry,
+    placed: gateway.PlacedAttempt,
   ): Promise<void> => {
     await clock.sleep(ANSWER_MS);
     const {id} = placed.upstream;
--- a/packages/amaranthknot/tests/gateway/store-outage.test.ts
+++ b/packages/amaranthknot/tests/gateway/store-outage.test.ts
@@ -37,7 +37,7 @@
       sessionMs: 5_000,
       limit: {share: 0.15, slack: 30},
       report: () => Promise.resolve(false),
-      rank: () => 0,
+      reportRank: () => 0,
       log,
     }),
     log,
--- a/packages/amaranthknot/tests/gateway/zones-and-homes.test.ts
+++ b/packages/amaranthknot/tests/gateway/zones-and-homes.test.ts
@@ -44,7 +44,7 @@
       const request = placementFixture.createPlacementRequest(
         instance,
         `${instance.id}-${index}`,
-        {homeRegions},
+        {allowedRegions: homeRegions},
       );
       const placed = instance.get('placement').place(request);
       placed.ifRight(({settle}) => {
--- a/packages/entry/src/chat-routes.ts
+++ b/packages/entry/src/chat-routes.ts
@@ -142,7 +142,7 @@
   private runStage(
     run: chatRunner.StageRun,
     signal: AbortSignal,
-  ): AsyncGenerator<upstreams.CompletionItem> {
+  ): AsyncGenerator<upstreams.CompletionEvent> {
     const {parts} = this;
     const {requestId, request, workspace} = run.call;
     parts.noteAttempt(run.model);
--- a/packages/entry/src/chat-runner.ts
+++ b/packages/entry/src/chat-runner.ts
@@ -93,7 +93,7 @@
   readonly runStage: (
     run: StageRun,
     signal: AbortSignal,
-  ) => AsyncIterable<upstreams.CompletionItem>;
+  ) => AsyncIterable<upstreams.CompletionEvent>;
   readonly notify: (notice: ChatNotice) => void;
 }
 
@@ -219,7 +219,7 @@
 
   private toAnswer(
     run: StageRun,
-    item: Extract<upstreams.CompletionItem, {readonly kind: 'finished'}>,
+    item: Extract<upstreams.CompletionEvent, {readonly kind: 'finished'}>,
   ): ChatAnswer {
     return {
       model: run.model,
--- a/packages/entry/src/entry-parts.ts
+++ b/packages/entry/src/entry-parts.ts
@@ -85,7 +85,7 @@
   ) => Promise<string>;
   readonly placeStage: PlaceStage;
   readonly placeService: PlaceService;
-  readonly openEngine: upstreams.EngineStream;
+  readonly openEngine: upstreams.OpenEngineStream;
   readonly callService: upstreams.ServiceClient;
   /** Notes a first attempt, which earns a part of a retry. */
   readonly noteAttempt: (model: string) => void;
--- a/packages/entry/src/upstream-directory.ts
+++ b/packages/entry/src/upstream-directory.ts
@@ -117,7 +117,7 @@
     return {
       upstream: id,
       address: this.listed.get(id)?.address ?? '',
-      noteFirst: () => (firstMs ??= clock.now() - started),
+      recordFirstToken: () => (firstMs ??= clock.now() - started),
       settle: end => {
         const now = clock.now();
         const latencyMs = firstMs ?? now - started;
--- a/packages/experiment/src/play-day.ts
+++ b/packages/experiment/src/play-day.ts
@@ -256,7 +256,7 @@
     const {opinionDeviation} = this.deployment;
     const confidence = findConfidence(drawn, first.model, opinionDeviation);
     const {get} = instance;
-    const {runs} = get('capable').judge(
+    const {runs} = get('capable').decide(
       first.request,
       capable.name,
       confidence,
@@ -303,7 +303,7 @@
     });
     const isBegun = await within(clock, run.begun, drawn.class.patienceMs);
     const waitMs = clock.now() - startedAtMs;
-    get('capable').noteWait(wanted.request, model.name, waitMs, !isBegun);
+    get('capable').recordWait(wanted.request, model.name, waitMs, !isBegun);
     const readCost = READ_PRICE * (sharedTokens + ownTokens);
     this.spend(model, readCost);
     if (!isBegun) {
@@ -311,7 +311,7 @@
       tried.settle('failed');
       return undefined;
     }
-    tried.begun();
+    tried.recordHead();
     let isGivenUp = false;
     return {
       model,
--- a/packages/experiment/src/policy.ts
+++ b/packages/experiment/src/policy.ts
@@ -55,16 +55,16 @@
 const createJudge = (
   get: amaranthknot.ResolveGateway,
   runs: boolean,
-): gateway.CapableModels => {
+): gateway.EscalationPolicy => {
   const {clock} = get('options');
-  const models = new gateway.CapableModels({
+  const models = new gateway.EscalationPolicy({
     now: () => clock.now(),
     catalog: get('catalog'),
     picker: get('picker'),
     repeats: get('repeats'),
     isZoneOut: zone => get('state').isZoneOut(zone),
   });
-  models.judge = (_request, _capable, confidence) => ({
+  models.decide = (_request, _capable, confidence) => ({
     confidence,
     scarcity: 1,
     hasBudget: true,
--- a/packages/gateway/src/accept-request.ts
+++ b/packages/gateway/src/accept-request.ts
@@ -2,22 +2,22 @@
 import * as purify from 'purify-ts';
 import * as routing from '@amaranthknot/routing';
 import type * as callerRequest from './caller-request.js';
-import type * as gatewayParts from './gateway-parts.js';
+import type * as runContext from './run-context.js';
 import type * as refusals from './refusal.js';
 
 /** The configuration in force as this instance knows it. */
-export interface TableInForce {
+export interface ActiveTable {
   readonly table: routing.RoutingTable;
   /** Time since it was last confirmed to be the newest, in milliseconds. */
   readonly ageMs: number;
 }
 
 /** Ages beyond which the configuration may not be relied on, in ms. */
-export interface TableAges {
+export interface TableAgeLimits {
   /** For requests with a key: it may have been revoked since. */
-  readonly forKeys: number;
+  readonly keyChecksMs: number;
   /** For saying that a route or key does not exist: it may be new. */
-  readonly forDenials: number;
+  readonly denialsMs: number;
 }
 
 /** When to come back while the configuration is not known, in ms. */
@@ -31,7 +31,7 @@
 /** An accepted request, or why it is refused. */
 export type Acceptance = purify.Either<
   refusals.Refusal,
-  gatewayParts.AcceptedRequest
+  runContext.AcceptedRequest
 >;
 
 /** Draws a route's service by weight. */
@@ -53,18 +53,18 @@
 /** Accepts a request by the configuration in force, or says why not. */
 export const acceptRequest = (
   caller: callerRequest.CallerRequest,
-  inForce: TableInForce | undefined,
-  ages: TableAges,
+  activeTable: ActiveTable | undefined,
+  ageLimits: TableAgeLimits,
   random: () => number,
 ): Acceptance => {
-  if (!inForce) {
+  if (!activeTable) {
     return purify.Left(NOT_READY);
   }
-  const {table, ageMs} = inForce;
+  const {table, ageMs} = activeTable;
   // A route or key that is missing here may have come with a configuration
   // that this instance has not seen: denied, its caller would not return.
   const deny = (reason: refusals.RefusalReason): Acceptance =>
-    purify.Left(ageMs > ages.forDenials ? NOT_READY : {reason});
+    purify.Left(ageMs > ageLimits.denialsMs ? NOT_READY : {reason});
   if (caller.body.length > table.limits.bodyBytes) {
     return purify.Left({reason: 'too_large'});
   }
@@ -75,7 +75,7 @@
   }
   const needsKey = table.workspaces !== undefined && !route.isPublic;
   // Cut off, this instance would not hear that a key was taken away.
-  if (needsKey && ageMs > ages.forKeys) {
+  if (needsKey && ageMs > ageLimits.keyChecksMs) {
     return purify.Left(NOT_READY);
   }
   const workspace = needsKey
--- a/packages/gateway/src/side-server.ts
+++ b/packages/gateway/src/auxiliary-server.ts
@@ -14,7 +14,7 @@
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
 /** Answer from which a message to a peer is compressed, in bytes. */
-const COMPRESSED_BYTES = 1_024;
+const MIN_COMPRESSED_BYTES = 1_024;
 
 /** Path at which metrics are collected. */
 const METRICS_PATH = '/metrics';
@@ -22,7 +22,7 @@
 const JSON_TYPE = 'application/json';
 
 /** A question of a caller: where to connect. */
-export interface DirectoryQuestion {
+export interface DirectoryQuery {
   readonly zone: string | undefined;
   readonly region: string | undefined;
   /** Address that the caller asks from. */
@@ -30,7 +30,7 @@
 }
 
 /** A running server. */
-export interface SideServer {
+export interface AuxiliaryServer {
   /** Rejects where the address can't be had. */
   start(): Promise<void>;
   /** Ends requests in progress at once. */
@@ -59,7 +59,7 @@
   address: configuration.Address,
   path: string,
   handle: (text: string) => Promise<string>,
-): SideServer =>
+): AuxiliaryServer =>
   createServer(address, {
     method: 'POST',
     path,
@@ -76,7 +76,7 @@
   address: configuration.Address,
   path: string,
   isReady: () => boolean,
-): SideServer =>
+): AuxiliaryServer =>
   createServer(address, {
     method: 'GET',
     path,
@@ -87,8 +87,8 @@
 export const createDirectoryServer = (
   address: configuration.Address,
   path: string,
-  answer: (question: DirectoryQuestion) => unknown,
-): SideServer =>
+  answer: (question: DirectoryQuery) => unknown,
+): AuxiliaryServer =>
   createServer(address, {
     method: 'GET',
     path,
@@ -108,7 +108,7 @@
 export const createMetricsServer = (
   address: configuration.Address,
   format: () => Promise<string>,
-): SideServer =>
+): AuxiliaryServer =>
   createServer(address, {
     method: 'GET',
     path: METRICS_PATH,
@@ -122,7 +122,7 @@
 const createServer = (
   address: configuration.Address,
   endpoint: Endpoint,
-): SideServer => {
+): AuxiliaryServer => {
   const server = http.createServer((request, response) => {
     void findAnswer(endpoint, request).then(answer => {
       send(request, response, answer);
@@ -151,15 +151,15 @@
   response: http.ServerResponse,
   {status, type, body = ''}: Answer,
 ): void => {
-  const takesGzip = /\bgzip\b/.test(request.headers['accept-encoding'] ?? '');
-  const isPacked = takesGzip && body.length >= COMPRESSED_BYTES;
-  const bytes = isPacked
+  const acceptsGzip = /\bgzip\b/.test(request.headers['accept-encoding'] ?? '');
+  const isCompressed = acceptsGzip && body.length >= MIN_COMPRESSED_BYTES;
+  const bytes = isCompressed
     ? zlib.gzipSync(body, {level: zlib.constants.Z_BEST_SPEED})
     : Buffer.from(body);
   response.writeHead(status, {
     'Content-Length': bytes.length,
     ...(type === undefined ? {} : {'Content-Type': type}),
-    ...(isPacked ? {'Content-Encoding': 'gzip'} : {}),
+    ...(isCompressed ? {'Content-Encoding': 'gzip'} : {}),
   });
   response.end(bytes);
 };
--- a/packages/gateway/src/plain-run.ts
+++ b/packages/gateway/src/buffered-run.ts
@@ -1,10 +1,10 @@
 /** Runs a request whose answer is passed on whole. */
 import type * as callerAnswer from './caller-answer.js';
-import * as gatewayParts from './gateway-parts.js';
+import * as runContext from './run-context.js';
 import * as rawHeaders from './raw-headers.js';
 import * as readBody from './read-body.js';
 import type * as refusals from './refusal.js';
-import * as tryUpstream from './try-upstream.js';
+import * as sendAttempt from './send-attempt.js';
 
 /**
  * Longest wait for a connection, in milliseconds. A connection takes a round
@@ -28,38 +28,40 @@
 }
 
 /** How one try ended. */
-type TryResult =
+type AttemptResult =
   WholeAnswer | {readonly kind: 'not_run'} | {readonly kind: 'unknown'};
 
-const NOTHING_DROPPED: ReadonlySet<string> = new Set<string>();
+const NO_DROPPED_HEADERS: ReadonlySet<string> = new Set<string>();
 
 /** Whether a status says that the upstream failed. */
 const isFailure = (status: number): boolean => status >= 500;
 
 /** One request to a plain service. */
-export class PlainRun {
+export class BufferedRun {
   private readonly excluded = new Set<string>();
   /** Upstreams on which it may have run. */
-  private runs = 0;
+  private possibleRuns = 0;
   private sends = 0;
   private last: WholeAnswer | undefined;
 
   constructor(
-    private readonly parts: gatewayParts.RunParts,
-    private readonly context: gatewayParts.RunContext,
+    private readonly dependencies: runContext.RunDependencies,
+    private readonly context: runContext.RunContext,
   ) {}
 
   /** Runs the request; the answer is an upstream's or the gateway's own. */
   async run(): Promise<WholeAnswer | refusals.Refusal> {
     const isOnce = this.context.request.route.kind === 'at_most_once';
-    const answer = isOnce ? await this.runOnce() : await this.runRepeatable();
+    const answer = isOnce
+      ? await this.runAtMostOnce()
+      : await this.runRepeatable();
     return answer ?? this.last ?? this.explainFailure();
   }
 
   /** Sends again only what certainly has not run. */
-  private async runOnce(): Promise<WholeAnswer | undefined> {
+  private async runAtMostOnce(): Promise<WholeAnswer | undefined> {
     for (;;) {
-      const pending = this.launch(this.context.signal);
+      const pending = this.startAttempt(this.context.signal);
       const result = await pending;
       if (result === undefined || result.kind === 'unknown') {
         return undefined;
@@ -75,34 +77,37 @@
    * good answer counts, and the other try is given up.
    */
   private async runRepeatable(): Promise<WholeAnswer | undefined> {
-    const ending = new AbortController();
-    const signal = AbortSignal.any([this.context.signal, ending.signal]);
-    const pending = new Set<Promise<Finished>>();
-    const launch = (): void => {
-      const attempt = this.launch(signal);
+    const abortController = new AbortController();
+    const signal = AbortSignal.any([
+      this.context.signal,
+      abortController.signal,
+    ]);
+    const pending = new Set<Promise<FinishedAttempt>>();
+    const startAnother = (): void => {
+      const attempt = this.startAttempt(signal);
       if (attempt) {
-        const finished: Promise<Finished> = attempt.then(result => ({
+        const finished: Promise<FinishedAttempt> = attempt.then(result => ({
           result,
           attempt: finished,
         }));
         pending.add(finished);
       }
     };
-    launch();
+    startAnother();
     while (pending.size > 0) {
       const next = await this.waitForNext(pending);
       if (next === 'late') {
-        launch();
+        startAnother();
         continue;
       }
       pending.delete(next.attempt);
       const {result} = next;
       if (result.kind === 'answer' && !isFailure(result.head.status)) {
-        ending.abort('not_needed' satisfies gatewayParts.RunEnd);
+        abortController.abort('not_needed' satisfies runContext.AbortReason);
         return result;
       }
       if (pending.size === 0) {
-        launch();
+        startAnother();
       }
     }
     return undefined;
@@ -110,18 +115,18 @@
 
   /** The next result, or `late` when a second upstream should be tried. */
   private async waitForNext(
-    pending: ReadonlySet<Promise<Finished>>,
-  ): Promise<Finished | 'late'> {
+    pending: ReadonlySet<Promise<FinishedAttempt>>,
+  ): Promise<FinishedAttempt | 'late'> {
     if (!this.maySend() || pending.size > 1) {
       return Promise.race(pending);
     }
     const {service, route} = this.context.request;
-    const waitMs = this.parts.latencies.hedgeAfterMs(
+    const waitMs = this.dependencies.latencies.hedgeAfterMs(
       service.name,
       route.latencyTargetMs,
     );
     const waiting = new AbortController();
-    const late = this.parts.clock
+    const late = this.dependencies.clock
       .sleep(waitMs, waiting.signal)
       .then(() => 'late' as const);
     const next = await Promise.race([...pending, late]);
@@ -133,13 +138,13 @@
     const {maxAttempts} = this.context.request.route;
     return (
       !this.context.signal.aborted &&
-      this.runs < maxAttempts &&
+      this.possibleRuns < maxAttempts &&
       this.sends < maxAttempts + MAX_REFUSED_SENDS
     );
   }
 
   private explainFailure(): refusals.Refusal {
-    if (this.runs > 0) {
+    if (this.possibleRuns > 0) {
       const isTimeUp = this.context.signal.aborted;
       return {reason: isTimeUp ? 'timeout' : 'failed'};
     }
@@ -147,11 +152,13 @@
   }
 
   /** Begins a try; undefined where none is possible. */
-  private launch(signal: AbortSignal): Promise<TryResult> | undefined {
+  private startAttempt(
+    signal: AbortSignal,
+  ): Promise<AttemptResult> | undefined {
     if (!this.maySend()) {
       return undefined;
     }
-    const placed = this.parts.place({
+    const placed = this.dependencies.place({
       request: this.context.request,
       model: undefined,
       excluded: this.excluded,
@@ -162,31 +169,35 @@
         this.context.log.step('try_not_placed', {reason, sends: this.sends});
         return undefined;
       },
-      Right: found => this.tryOnce(found, signal),
+      Right: found => this.runAttempt(found, signal),
     });
   }
 
-  private async tryOnce(
-    placed: gatewayParts.PlacedTry,
+  private async runAttempt(
+    placed: runContext.PlacedAttempt,
     signal: AbortSignal,
-  ): Promise<TryResult> {
+  ): Promise<AttemptResult> {
     const {request} = this.context;
     this.sends++;
-    this.runs++;
+    this.possibleRuns++;
     this.excluded.add(placed.upstream.id);
-    const startedAtMs = this.parts.clock.now();
-    const opened = await tryUpstream.tryUpstream(this.parts, this.context, {
-      placed,
-      model: undefined,
-      lastEventId: request.caller.lastEventId,
-      connection: request.route.kind === 'at_most_once' ? 'fresh' : 'kept',
-      connectTimeoutMs: CONNECT_TIMEOUT_MS,
-      headTimeoutMs: request.deadlineMs - startedAtMs,
-      signal,
-    });
+    const startedAtMs = this.dependencies.clock.now();
+    const opened = await sendAttempt.sendAttempt(
+      this.dependencies,
+      this.context,
+      {
+        placed,
+        model: undefined,
+        lastEventId: request.caller.lastEventId,
+        connection: request.route.kind === 'at_most_once' ? 'fresh' : 'kept',
+        connectTimeoutMs: CONNECT_TIMEOUT_MS,
+        headTimeoutMs: request.deadlineMs - startedAtMs,
+        signal,
+      },
+    );
     if (opened.isLeft()) {
       const {ran} = opened.extract();
-      this.runs -= ran === 'not_run' ? 1 : 0;
+      this.possibleRuns -= ran === 'not_run' ? 1 : 0;
       return {kind: ran};
     }
     const answer = opened.unsafeCoerce();
@@ -197,9 +208,9 @@
     }
     const {status} = answer;
     placed.settle(isFailure(status) ? 'failed' : 'answered');
-    const tookMs = this.parts.clock.now() - startedAtMs;
-    this.parts.latencies.note(request.service.name, tookMs);
-    const headers = rawHeaders.keepEndToEnd(answer.headers, NOTHING_DROPPED);
+    const tookMs = this.dependencies.clock.now() - startedAtMs;
+    this.dependencies.latencies.note(request.service.name, tookMs);
+    const headers = rawHeaders.keepEndToEnd(answer.headers, NO_DROPPED_HEADERS);
     this.last = {
       kind: 'answer',
       upstream: placed.upstream.id,
@@ -211,7 +222,7 @@
 }
 
 /** A try's result, and which try it was. */
-interface Finished {
-  readonly result: TryResult;
-  readonly attempt: Promise<Finished>;
+interface FinishedAttempt {
+  readonly result: AttemptResult;
+  readonly attempt: Promise<FinishedAttempt>;
 }
--- a/packages/gateway/src/caller-request.ts
+++ b/packages/gateway/src/caller-request.ts
@@ -20,14 +20,14 @@
 }
 
 /** Part of the most tokens that an answer takes where no guess is given. */
-const USUAL_PART = 0.5;
+const DEFAULT_ANSWER_FRACTION = 0.5;
 
 /** Tokens of the answer to expect. */
-export const expectAnswerTokens = ({
+export const estimateAnswerTokens = ({
   maxTokens,
   expectedTokens,
 }: GenerationSize): number =>
-  Math.min(maxTokens, expectedTokens ?? USUAL_PART * maxTokens);
+  Math.min(maxTokens, expectedTokens ?? DEFAULT_ANSWER_FRACTION * maxTokens);
 
 /** A request as a caller sent it. */
 export interface CallerRequest {
@@ -52,21 +52,21 @@
 }
 
 /** Wait assumed of a caller that does not say how long it waits, in ms. */
-const DEFAULT_WAIT_MS = 60_000;
+const DEFAULT_CALLER_TIMEOUT_MS = 60_000;
 
-const readParts = (text: string | undefined): readonly PromptPart[] =>
+const parsePromptParts = (text: string | undefined): readonly PromptPart[] =>
   (text ?? '').split(',').flatMap(entry => {
     const [id, tokens] = entry.trim().split(':');
     const count = Number(tokens);
     return id && Number.isFinite(count) ? [{id, tokens: count}] : [];
   });
 
-const readCount = (text: string | undefined): number | undefined => {
+const parseCount = (text: string | undefined): number | undefined => {
   const count = Number(text);
   return text !== undefined && Number.isFinite(count) ? count : undefined;
 };
 
-const readGeneration = (
+const parseGeneration = (
   counts: string | undefined,
   parts: string | undefined,
   hint: string | undefined,
@@ -78,16 +78,16 @@
   return {
     promptTokens: Number.isFinite(prompt) ? (prompt ?? 0) : 0,
     maxTokens: Number.isFinite(max) ? (max ?? 0) : 0,
-    expectedTokens: readCount(hint),
-    parts: readParts(parts),
+    expectedTokens: parseCount(hint),
+    parts: parsePromptParts(parts),
   };
 };
 
-const readWait = (text: string | undefined): number => {
+const parseTimeLeft = (text: string | undefined): number => {
   const wait = Number(text);
   return text !== undefined && Number.isFinite(wait) && wait >= 0
     ? wait
-    : DEFAULT_WAIT_MS;
+    : DEFAULT_CALLER_TIMEOUT_MS;
 };
 
 /** Puts a request together from its head and its whole body. */
@@ -109,10 +109,10 @@
     body,
     apiKey: find(names.apiKey),
     receivedAtMs,
-    deadlineMs: receivedAtMs + readWait(find(names.timeLeft)),
+    deadlineMs: receivedAtMs + parseTimeLeft(find(names.timeLeft)),
     session: find(names.session),
     lastEventId: find(names.lastEventId),
-    generation: readGeneration(
+    generation: parseGeneration(
       find(names.tokenCounts),
       find(names.promptParts),
       find(names.lengthHint),
--- a/packages/gateway/src/caller-server.ts
+++ b/packages/gateway/src/caller-server.ts
@@ -12,10 +12,10 @@
 ) => Promise<void>;
 
 /** Largest head of a request before any configuration is known, in bytes. */
-const FIRST_HEADER_BYTES = 65_536;
+const INITIAL_MAX_HEADER_BYTES = 65_536;
 
 /** How often the server looks for callers that are too slow, in ms. */
-const SLOW_CHECK_MS = 500;
+const CONNECTION_CHECK_INTERVAL_MS = 500;
 
 /**
  * Time by which this server waits longer for the next request on a connection
@@ -41,8 +41,8 @@
   ) {
     this.listener = http.createServer(
       {
-        maxHeaderSize: FIRST_HEADER_BYTES,
-        connectionsCheckingInterval: SLOW_CHECK_MS,
+        maxHeaderSize: INITIAL_MAX_HEADER_BYTES,
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
         requestTimeout: 0,
         keepAliveTimeout: 60_000,
       },
--- a/packages/gateway/src/connection-pool.ts
+++ b/packages/gateway/src/connection-pool.ts
@@ -21,7 +21,7 @@
  * An upstream may send a second answer after a complete one; read later, it
  * would stand where the next request's answer is expected.
  */
-class WatchfulAgent extends http.Agent {
+class GuardedAgent extends http.Agent {
   /** Whether the connection is kept; the library's types leave that out. */
   override keepSocketAlive(socket: net.Socket): boolean {
     const keep = super.keepSocketAlive.bind(this) as (
@@ -54,8 +54,8 @@
 
 /** One agent for each upstream, and one that keeps nothing. */
 export class ConnectionPool {
-  private readonly agents = new Map<string, WatchfulAgent>();
-  private readonly single = new http.Agent({keepAlive: false});
+  private readonly agents = new Map<string, GuardedAgent>();
+  private readonly unpooledAgent = new http.Agent({keepAlive: false});
 
   /** The agent for a request to `upstream`. */
   agentOf(
@@ -63,13 +63,13 @@
     connection: 'fresh' | 'kept',
   ): http.Agent {
     if (connection === 'fresh') {
-      return this.single;
+      return this.unpooledAgent;
     }
     const known = this.agents.get(upstream.id);
     if (known) {
       return known;
     }
-    const agent = new WatchfulAgent({
+    const agent = new GuardedAgent({
       keepAlive: true,
       maxFreeSockets: MAX_IDLE_PER_UPSTREAM,
       timeout: MAX_IDLE_MS,
@@ -80,7 +80,7 @@
   }
 
   /** Closes idle connections to upstreams that are no longer known. */
-  keepOnly(ids: ReadonlySet<string>): void {
+  retain(ids: ReadonlySet<string>): void {
     for (const [id, agent] of this.agents) {
       if (!ids.has(id)) {
         closeIdle(agent);
--- a/packages/gateway/src/capable-models.ts
+++ b/packages/gateway/src/escalation-policy.ts
@@ -2,11 +2,11 @@
 import * as decisions from '@amaranthknot/decisions';
 import type * as routing from '@amaranthknot/routing';
 import * as callerRequest from './caller-request.js';
-import type * as gatewayParts from './gateway-parts.js';
+import type * as runContext from './run-context.js';
 import type * as upstreamCatalog from './upstream-catalog.js';
 
 /** Parts that the choice works with. */
-export interface CapableModelsOptions {
+export interface EscalationPolicyOptions {
   readonly now: () => number;
   readonly catalog: upstreamCatalog.UpstreamCatalog;
   readonly picker: decisions.UpstreamPicker;
@@ -18,10 +18,10 @@
  * Part of the saved repeats that is left for broken answers: a second opinion
  * is worth less than an answer that would be lost.
  */
-const REPEATS_RESERVE = 0.25;
+const REPEAT_RESERVE_FRACTION = 0.25;
 
 /** Whether the capable model runs, and what that was decided by. */
-export interface CapableJudgement {
+export interface EscalationDecision {
   /** What the cheap model thinks of its answer, 0 to 100. */
   readonly confidence: number;
   /** How dear the capable model is now, 1 and more. */
@@ -37,22 +37,22 @@
 }
 
 /** What one instance knows of the capable models of all services. */
-export class CapableModels {
+export class EscalationPolicy {
   private readonly meters = new Map<string, Meters>();
 
-  constructor(private readonly options: CapableModelsOptions) {}
+  constructor(private readonly options: EscalationPolicyOptions) {}
 
   /** Judges whether the capable model should run after the cheap one. */
-  judge(
-    {caller, service, route}: gatewayParts.AcceptedRequest,
+  decide(
+    {caller, service, route}: runContext.AcceptedRequest,
     capable: string | undefined,
     confidence: number,
-  ): CapableJudgement {
+  ): EscalationDecision {
     const {generation} = caller;
     const model = service.engine?.models.find(({name}) => name === capable);
     const hasBudget = this.options.repeats.hasRepeat(
       service.name,
-      REPEATS_RESERVE,
+      REPEAT_RESERVE_FRACTION,
     );
     const scarcity = this.findScarcity(service, route);
     if (!generation || !model || !hasBudget) {
@@ -62,7 +62,7 @@
     const stake = {
       promptTokens,
       maxTokens,
-      expectedTokens: callerRequest.expectAnswerTokens(generation),
+      expectedTokens: callerRequest.estimateAnswerTokens(generation),
       capablePrice: model.cost,
     };
     const runs = decisions.shouldEscalate(confidence, stake, scarcity);
@@ -70,18 +70,18 @@
   }
 
   /** Notes the wait for a first token of `model`, in vain or not. */
-  noteWait(
-    {caller, route, service}: gatewayParts.AcceptedRequest,
+  recordWait(
+    {caller, route, service}: runContext.AcceptedRequest,
     model: string | undefined,
     waitMs: number,
-    wasInVain: boolean,
+    timedOut: boolean,
   ): void {
     if (model === undefined || model !== route.models.at(-1)) {
       return;
     }
     const {waits, reading} = this.metersOf(service);
     waits.note(waitMs, route.latencyTargetMs, this.options.now());
-    if (!wasInVain) {
+    if (!timedOut) {
       const tokens = caller.generation?.promptTokens ?? 0;
       reading.note(tokens, waitMs, this.options.now());
     }
--- a/packages/gateway/src/order-evidence.ts
+++ b/packages/gateway/src/evidence-table.ts
@@ -9,7 +9,7 @@
 export type EvidenceSumRow = Omit<protocol.EvidenceSum, 'order'>;
 
 /** What to add to the counts of a version. */
-export type CountedSign = Partial<decisions.VersionCounts>;
+export type CountIncrement = Partial<decisions.VersionCounts>;
 
 /**
  * Routes of one order whose answers are counted apart; bounds the messages
@@ -21,21 +21,21 @@
 const OTHER_ROUTES = '*';
 
 /** Time for which a watcher's sums count, in ms: some of its answers. */
-const TOLD_MS = 1_500;
+const REPORTED_SUMS_TTL_MS = 1_500;
 
 /** Name under which sums over all instances are kept. */
-const TOLD_NAME = 'all';
+const ALL_INSTANCES = 'all';
 
-interface ToldSums {
+interface ReportedSums {
   readonly atMs: number;
   readonly byRoute: decisions.EvidenceByRoute;
 }
 
 /** What one instance knows of the versions of one order. */
-export class OrderEvidence {
+export class EvidenceTable {
   /** Counts by route and instance: own ones, and those that peers told. */
   private readonly byRoute = new Map<string, decisions.EvidenceByInstance>();
-  private told: ToldSums | undefined;
+  private reportedSums: ReportedSums | undefined;
 
   /** @param incarnation names this start of this instance. */
   constructor(private readonly incarnation: string) {}
@@ -43,8 +43,8 @@
   /** Counts what this instance saw of a version. */
   count(
     route: string,
-    side: decisions.RolloutVersion,
-    sign: CountedSign,
+    version: decisions.RolloutVersion,
+    increment: CountIncrement,
   ): void {
     const isApart = this.byRoute.has(route) || this.byRoute.size < MAX_ROUTES;
     const name = isApart ? route : OTHER_ROUTES;
@@ -52,7 +52,7 @@
     const before = ofRoute[this.incarnation] ?? decisions.NO_EVIDENCE;
     const after = {
       ...before,
-      [side]: decisions.addCounts(before[side], sign),
+      [version]: decisions.addCounts(before[version], increment),
     };
     this.byRoute.set(name, {...ofRoute, [this.incarnation]: after});
   }
@@ -67,21 +67,21 @@
   }
 
   /** Takes in sums that a watcher made over all instances. */
-  takeSums(sums: readonly EvidenceSumRow[], nowMs: number): void {
+  applySums(sums: readonly EvidenceSumRow[], nowMs: number): void {
     const byRoute = new Map(
       sums.map(({route, old, new: fresh}) => [
         route,
-        {[TOLD_NAME]: {old, new: fresh}},
+        {[ALL_INSTANCES]: {old, new: fresh}},
       ]),
     );
-    this.told = {atMs: nowMs, byRoute};
+    this.reportedSums = {atMs: nowMs, byRoute};
   }
 
   /** Counts of all instances that are known, or of this one alone. */
-  rows(whose: 'all' | 'own'): readonly EvidenceRow[] {
+  rows(scope: 'all' | 'own'): readonly EvidenceRow[] {
     return [...this.byRoute].flatMap(([route, ofRoute]) =>
       Object.entries(ofRoute)
-        .filter(([name]) => whose === 'all' || name === this.incarnation)
+        .filter(([name]) => scope === 'all' || name === this.incarnation)
         .map(([incarnation, counts]) => ({incarnation, route, ...counts})),
     );
   }
@@ -99,8 +99,10 @@
    * count this instance's answers too, else what peers told.
    */
   current(nowMs: number): decisions.EvidenceByRoute {
-    const {told} = this;
-    const isTold = told !== undefined && nowMs - told.atMs <= TOLD_MS;
-    return isTold ? told.byRoute : this.byRoute;
+    const {reportedSums} = this;
+    const isFresh =
+      reportedSums !== undefined &&
+      nowMs - reportedSums.atMs <= REPORTED_SUMS_TTL_MS;
+    return isFresh ? reportedSums.byRoute : this.byRoute;
   }
 }
--- a/packages/gateway/src/followed-order.ts
+++ b/packages/gateway/src/followed-rollout.ts
@@ -4,7 +4,7 @@
 import type * as protocol from '@amaranthknot/protocol';
 import type * as telemetry from '@amaranthknot/telemetry';
 import type * as routing from '@amaranthknot/routing';
-import * as orderEvidence from './order-evidence.js';
+import * as evidenceTable from './evidence-table.js';
 
 /** Which version of a service a request is to run on. */
 export type VersionChoice =
@@ -14,19 +14,19 @@
       readonly kind: 'only';
       readonly accepts: (version: string) => boolean;
       readonly fallback: ((version: string) => boolean) | undefined;
-      readonly concentration: VersionConcentration | undefined;
+      readonly subset: UpstreamSubset | undefined;
     };
 
 /** Some of the upstreams of a version, the same ones on all instances. */
-export interface VersionConcentration {
+export interface UpstreamSubset {
   /** Names the ranking by which they are chosen. */
   readonly key: string;
   /** Part of the version's upstreams; at least one is used. */
-  readonly part: number;
+  readonly fraction: number;
 }
 
 /** Parts that following an order works with. */
-export interface FollowedOrderOptions {
+export interface FollowedRolloutOptions {
   readonly clock: ports.Clock;
   /** Names this start of this instance. */
   readonly incarnation: string;
@@ -36,43 +36,43 @@
 }
 
 /** Sessions remembered of one order. */
-const MAX_PINNED = 2_000;
+const MAX_PINNED_SESSIONS = 2_000;
 
 const only = (accepts: (version: string) => boolean) =>
   ({
     kind: 'only',
     accepts,
     fallback: undefined,
-    concentration: undefined,
+    subset: undefined,
   }) as const;
 
 /** Names an order: service and version. */
-export const nameOrder = (order: routing.RolloutOrder): string =>
-  `${order.service}/${order.version}`;
+export const rolloutNameOf = (rollout: routing.Rollout): string =>
+  `${rollout.service}/${rollout.version}`;
 
 /** One order. */
-export class FollowedOrder {
+export class FollowedRollout {
   private startedAtMs: number;
   private verdict: decisions.VersionVerdict = 'unclear';
   /** Sessions that must stay with the old version, by hash. */
   private readonly pinned = new Set<number>();
-  private readonly evidence: orderEvidence.OrderEvidence;
+  private readonly evidence: evidenceTable.EvidenceTable;
 
-  /** @param order as the store holds it; its state changes. */
+  /** @param rollout as the store holds it; its state changes. */
   constructor(
-    public order: routing.RolloutOrder,
-    private readonly options: FollowedOrderOptions,
+    public rollout: routing.Rollout,
+    private readonly options: FollowedRolloutOptions,
   ) {
     this.startedAtMs = options.clock.now();
-    this.evidence = new orderEvidence.OrderEvidence(options.incarnation);
+    this.evidence = new evidenceTable.EvidenceTable(options.incarnation);
   }
 
   get name(): string {
-    return nameOrder(this.order);
+    return rolloutNameOf(this.rollout);
   }
 
   get isRunning(): boolean {
-    return this.order.state === 'running';
+    return this.rollout.state === 'running';
   }
 
   /** Time since the order, as far as this instance knows, in milliseconds. */
@@ -87,7 +87,7 @@
 
   /** Which version a request is to run on. */
   chooseVersion(sessionKey: string): VersionChoice {
-    const {version: ordered, state} = this.order;
+    const {version: ordered, state} = this.rollout;
     const isNew = (version: string) => version === ordered;
     const isOld = (version: string) => version !== ordered;
     switch (state) {
@@ -100,7 +100,7 @@
           ? {
               ...only(isNew),
               fallback: isOld,
-              concentration: this.findConcentration(),
+              subset: this.findSubset(),
             }
           : only(isOld);
     }
@@ -109,25 +109,25 @@
   /** Counts a sign of one of the two versions on a route. */
   count(
     route: string,
-    side: decisions.RolloutVersion,
-    sign: orderEvidence.CountedSign,
+    version: decisions.RolloutVersion,
+    increment: evidenceTable.CountIncrement,
   ): void {
-    this.evidence.count(route, side, sign);
+    this.evidence.count(route, version, increment);
     this.judge();
   }
 
   /** What this instance tells, but for its first `known` sessions. */
-  progress(known: number): protocol.RolloutProgress {
+  progress(skipCount: number): protocol.RolloutProgress {
     return {
       order: this.name,
       ageMs: this.ageMs,
-      pinned: [...this.pinned].slice(known),
+      pinned: [...this.pinned].slice(skipCount),
     };
   }
 
   /** Evidence: all that is known, or this instance's own. */
-  evidenceRows(whose: 'all' | 'own'): readonly protocol.OrderEvidence[] {
-    return this.evidence.rows(whose).map(row => ({order: this.name, ...row}));
+  evidenceRows(scope: 'all' | 'own'): readonly protocol.OrderEvidence[] {
+    return this.evidence.rows(scope).map(row => ({order: this.name, ...row}));
   }
 
   /** Evidence added up over instances. */
@@ -140,7 +140,7 @@
     progress: readonly protocol.RolloutProgress[],
     evidence: readonly protocol.OrderEvidence[],
   ): void {
-    this.takeProgress(progress);
+    this.mergeProgress(progress);
     evidence
       .filter(({order}) => order === this.name)
       .forEach(row => {
@@ -150,13 +150,13 @@
   }
 
   /** Takes in sums over all instances that a watcher made of all orders. */
-  takeSums(
+  applySums(
     progress: readonly protocol.RolloutProgress[],
     sums: readonly protocol.EvidenceSum[],
   ): void {
-    this.takeProgress(progress);
-    const told = sums.filter(({order}) => order === this.name);
-    this.evidence.takeSums(told, this.options.clock.now());
+    this.mergeProgress(progress);
+    const ownSums = sums.filter(({order}) => order === this.name);
+    this.evidence.applySums(ownSums, this.options.clock.now());
     this.judge();
   }
 
@@ -171,14 +171,14 @@
    * about as much as all will later. One alone would be overloaded, and a good
    * version be rolled back for it.
    */
-  private findConcentration(): VersionConcentration | undefined {
+  private findSubset(): UpstreamSubset | undefined {
     const outlook = this.outlook();
     return decisions.isConcentrated(outlook)
-      ? {key: this.name, part: decisions.findRolloutShare(outlook)}
+      ? {key: this.name, fraction: decisions.findRolloutShare(outlook)}
       : undefined;
   }
 
-  private takeProgress(progress: readonly protocol.RolloutProgress[]): void {
+  private mergeProgress(progress: readonly protocol.RolloutProgress[]): void {
     for (const heard of progress.filter(({order}) => order === this.name)) {
       const startedAtMs = this.options.clock.now() - heard.ageMs;
       // The first to see the order knows its age best.
@@ -196,7 +196,7 @@
   private timing(): decisions.RolloutTiming {
     return {
       ageMs: this.ageMs,
-      durationMs: this.order.durationMs,
+      durationMs: this.rollout.durationMs,
       sessionMs: this.options.sessionMs,
     };
   }
@@ -237,7 +237,7 @@
   }
 
   private pin(session: number): void {
-    if (this.pinned.size < MAX_PINNED) {
+    if (this.pinned.size < MAX_PINNED_SESSIONS) {
       this.pinned.add(session);
     }
   }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -4,23 +4,23 @@
 import * as acceptRequest from './accept-request.js';
 import * as callerAnswer from './caller-answer.js';
 import * as callerRequest from './caller-request.js';
-import type * as gatewayParts from './gateway-parts.js';
-import * as plainRun from './plain-run.js';
+import type * as runContext from './run-context.js';
+import * as bufferedRun from './buffered-run.js';
 import type * as refusals from './refusal.js';
 import * as streamRun from './stream-run.js';
 
 /** Parts of the gateway. */
-export interface GatewayParts extends gatewayParts.RunParts {
+export interface GatewayDependencies extends runContext.RunDependencies {
   readonly random: () => number;
   readonly log: telemetry.DecisionLog;
-  readonly inForce: () => acceptRequest.TableInForce | undefined;
+  readonly activeTable: () => acceptRequest.ActiveTable | undefined;
   /** Resolves when this instance knows enough to serve, or after a while. */
-  readonly whenKnowing: () => Promise<void>;
+  readonly whenSynced: () => Promise<void>;
   /** Resolves when the configuration was confirmed, or can't be for now. */
   readonly refreshTable: () => Promise<void>;
-  readonly tableAges: acceptRequest.TableAges;
+  readonly tableAgeLimits: acceptRequest.TableAgeLimits;
   /** Called with each request that was accepted, at its end. */
-  readonly onEnd: (sample: telemetry.RequestSample) => void;
+  readonly onRequestEnd: (sample: telemetry.RequestSample) => void;
 }
 
 /** When the head of an answer went out; undefined while it has not. */
@@ -32,15 +32,15 @@
  * How long before its deadline a request gets its final answer, in ms: the
  * answer has to reach the caller while it still waits.
  */
-const ANSWER_LEAD_MS = 20;
+const ANSWER_MARGIN_MS = 20;
 
 /** Largest body taken before any configuration is known, in bytes. */
-const FIRST_BODY_BYTES = 1_048_576;
+const INITIAL_MAX_BODY_BYTES = 1_048_576;
 
 /** Times of a planned stop, by the instance's clock. */
 export interface StopTimes {
   /** Until then all requests are taken, also such as may outlive the stop. */
-  readonly takesAllUntilMs: number;
+  readonly acceptsAllUntilMs: number;
   /** What is still in progress then is cut. */
   readonly endsAtMs: number;
 }
@@ -51,7 +51,7 @@
   /** Set once this instance stops. */
   private stop: StopTimes | undefined;
 
-  constructor(private readonly parts: GatewayParts) {}
+  constructor(private readonly dependencies: GatewayDependencies) {}
 
   /** Requests in progress. */
   get inProgress(): number {
@@ -68,13 +68,13 @@
     message: http.IncomingMessage,
     response: http.ServerResponse,
   ): Promise<void> {
-    const receivedAtMs = this.parts.clock.now();
+    const receivedAtMs = this.dependencies.clock.now();
     const times: AnswerTimes = {};
     const answer = new callerAnswer.CallerAnswer(
       response,
       () => this.stop !== undefined,
       () => {
-        times.begunAtMs ??= this.parts.clock.now();
+        times.begunAtMs ??= this.dependencies.clock.now();
       },
     );
     this.active++;
@@ -84,14 +84,14 @@
       // A defect must neither stop the process nor say `not run` of a request
       // that may have run.
       const reason = error instanceof Error ? error.stack : String(error);
-      this.parts.log.trouble('internal_error', {reason});
-      this.answerDefect(answer);
+      this.dependencies.log.trouble('internal_error', {reason});
+      this.answerInternalError(answer);
     } finally {
       this.active--;
     }
   }
 
-  private answerDefect(answer: callerAnswer.CallerAnswer): void {
+  private answerInternalError(answer: callerAnswer.CallerAnswer): void {
     if (answer.hasBegun) {
       answer.breakOff();
     } else {
@@ -115,21 +115,24 @@
       message,
       whole,
       receivedAtMs,
-      this.parts.dialect.headers,
+      this.dependencies.headerConventions.headers,
     );
-    const log = this.parts.log.forRequest(caller.id);
+    const log = this.dependencies.log.forRequest(caller.id);
     if (body === 'too_large') {
       this.refuse(answer, log, {reason: 'too_large'});
       return;
     }
-    if (!this.parts.inForce()) {
-      await this.parts.whenKnowing();
+    if (!this.dependencies.activeTable()) {
+      await this.dependencies.whenSynced();
     }
     await this.serve(caller, response, answer, log, times);
   }
 
   private bodyLimit(): number {
-    return this.parts.inForce()?.table.limits.bodyBytes ?? FIRST_BODY_BYTES;
+    return (
+      this.dependencies.activeTable()?.table.limits.bodyBytes ??
+      INITIAL_MAX_BODY_BYTES
+    );
   }
 
   /**
@@ -139,11 +142,11 @@
    * last moment and has more time than the instance has is cut, though its
    * caller could have gone elsewhere.
    */
-  private couldOutlive({deadlineMs}: gatewayParts.AcceptedRequest): boolean {
+  private mayOutliveStop({deadlineMs}: runContext.AcceptedRequest): boolean {
     const {stop} = this;
     return (
       stop !== undefined &&
-      this.parts.clock.now() >= stop.takesAllUntilMs &&
+      this.dependencies.clock.now() >= stop.acceptsAllUntilMs &&
       deadlineMs > stop.endsAtMs
     );
   }
@@ -161,15 +164,16 @@
       return;
     }
     const request = accepted.unsafeCoerce();
-    if (this.couldOutlive(request)) {
+    if (this.mayOutliveStop(request)) {
       this.refuse(answer, log, {reason: 'stopping', retryAfterMs: 0});
       return;
     }
-    const ending = new AbortController();
-    const end = (reason: gatewayParts.RunEnd) => {
-      ending.abort(reason);
+    const abortController = new AbortController();
+    const end = (reason: runContext.AbortReason) => {
+      abortController.abort(reason);
     };
-    const leftMs = request.deadlineMs - this.parts.clock.now() - ANSWER_LEAD_MS;
+    const leftMs =
+      request.deadlineMs - this.dependencies.clock.now() - ANSWER_MARGIN_MS;
     const timer = setTimeout(() => {
       end('time_up');
     }, leftMs);
@@ -178,24 +182,24 @@
     };
     response.once('close', onClose);
     try {
-      await this.run({request, log, signal: ending.signal}, answer);
+      await this.run({request, log, signal: abortController.signal}, answer);
     } finally {
       clearTimeout(timer);
       response.off('close', onClose);
-      this.noteEnd(request, times);
+      this.recordEnd(request, times);
     }
   }
 
-  private noteEnd(
-    {route, caller}: gatewayParts.AcceptedRequest,
+  private recordEnd(
+    {route, caller}: runContext.AcceptedRequest,
     {begunAtMs}: AnswerTimes,
   ): void {
     const {receivedAtMs} = caller;
-    this.parts.onEnd({
+    this.dependencies.onRequestEnd({
       kind: route.kind,
       firstByteMs:
         begunAtMs === undefined ? undefined : begunAtMs - receivedAtMs,
-      tookMs: this.parts.clock.now() - receivedAtMs,
+      tookMs: this.dependencies.clock.now() - receivedAtMs,
     });
   }
 
@@ -203,9 +207,15 @@
   private async accept(
     caller: callerRequest.CallerRequest,
   ): Promise<acceptRequest.Acceptance> {
-    const {inForce, tableAges, random, refreshTable} = this.parts;
+    const {activeTable, tableAgeLimits, random, refreshTable} =
+      this.dependencies;
     const accept = () =>
-      acceptRequest.acceptRequest(caller, inForce(), tableAges, random);
+      acceptRequest.acceptRequest(
+        caller,
+        activeTable(),
+        tableAgeLimits,
+        random,
+      );
     const first = accept();
     const isTooOld = first.isLeft() && first.extract().reason === 'not_ready';
     if (!isTooOld) {
@@ -216,19 +226,23 @@
   }
 
   private async run(
-    context: gatewayParts.RunContext,
+    context: runContext.RunContext,
     answer: callerAnswer.CallerAnswer,
   ): Promise<void> {
     const {log} = context;
     if (context.request.route.kind === 'stream') {
-      const stream = new streamRun.StreamRun(this.parts, context, answer);
+      const stream = new streamRun.StreamRun(
+        this.dependencies,
+        context,
+        answer,
+      );
       const refusal = await stream.run();
       if (refusal) {
         this.refuse(answer, log, refusal);
       }
       return;
     }
-    const plain = new plainRun.PlainRun(this.parts, context);
+    const plain = new bufferedRun.BufferedRun(this.dependencies, context);
     const result = await plain.run();
     if ('reason' in result) {
       this.refuse(answer, log, result);
@@ -248,12 +262,12 @@
       log.step('caller_left', {});
       return;
     }
-    const inForce = this.parts.inForce();
+    const activeTable = this.dependencies.activeTable();
     log.failure('request_refused', {
       reason: refusal.reason,
       retryAfterMs: refusal.retryAfterMs,
-      configuration: inForce?.table.version,
-      configurationAgeMs: inForce && Math.round(inForce.ageMs),
+      configuration: activeTable?.table.version,
+      configurationAgeMs: activeTable && Math.round(activeTable.ageMs),
     });
     answer.refuse(refusal);
   }
--- a/packages/gateway/src/header-names.ts
+++ b/packages/gateway/src/header-names.ts
@@ -37,7 +37,7 @@
 }
 
 /** How the gateway and its neighbours talk HTTP. */
-export interface Dialect {
+export interface HeaderConventions {
   readonly headers: HeaderNames;
   /** Headers that only instances set; what callers send is dropped. */
   readonly instanceOnlyHeaders: readonly string[];
--- a/packages/gateway/src/raw-headers.ts
+++ b/packages/gateway/src/raw-headers.ts
@@ -7,7 +7,7 @@
 export type RawHeaders = readonly string[];
 
 /** Headers that concern one connection only (RFC 9110, section 7.6.1). */
-const CONNECTION_HEADERS: ReadonlySet<string> = new Set([
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
   'proxy-connection',
@@ -52,7 +52,7 @@
     const name = headers[i] ?? '';
     const lower = name.toLowerCase();
     const isDropped =
-      CONNECTION_HEADERS.has(lower) || dropped.has(lower) || named.has(lower);
+      HOP_BY_HOP_HEADERS.has(lower) || dropped.has(lower) || named.has(lower);
     if (!isDropped) {
       kept.push(name, headers[i + 1] ?? '');
     }
--- a/packages/gateway/src/read-body.ts
+++ b/packages/gateway/src/read-body.ts
@@ -5,7 +5,7 @@
  * Largest answer held in memory, in bytes. Answers of plain services are a few
  * kilobytes; held whole, a broken one can be asked for again.
  */
-export const MAX_HELD_BYTES = 8_388_608;
+export const MAX_BUFFERED_BYTES = 8_388_608;
 
 /** The body, or undefined where it broke off or is too large. */
 export const readBody = ({
@@ -18,7 +18,7 @@
     message.on('data', (chunk: Buffer) => {
       size += chunk.length;
       chunks.push(chunk);
-      if (size > MAX_HELD_BYTES) {
+      if (size > MAX_BUFFERED_BYTES) {
         message.destroy();
       }
     });
--- a/packages/gateway/src/rollout-tracker.ts
+++ b/packages/gateway/src/rollout-tracker.ts
@@ -1,41 +1,41 @@
 /** Follows the roll-outs of all services and reports how they end. */
 import type * as protocol from '@amaranthknot/protocol';
 import type * as routing from '@amaranthknot/routing';
-import * as followedOrder from './followed-order.js';
-import type * as orderEvidence from './order-evidence.js';
+import * as followedRollout from './followed-rollout.js';
+import type * as evidenceTable from './evidence-table.js';
 import * as versionLatencies from './version-latencies.js';
 
 /** The pace of one stream. */
-export interface PaceSign extends versionLatencies.VersionWork {
+export interface PaceObservation extends versionLatencies.RequestClass {
   /** Mean pause between its first events. */
   readonly paceMs: number;
 }
 
 /** One finished try, as far as it tells something about its version. */
-export interface VersionSign extends versionLatencies.VersionWork {
-  readonly isBad: boolean;
+export interface VersionObservation extends versionLatencies.RequestClass {
+  readonly isError: boolean;
   /** Time to the first byte; undefined where none came. */
   readonly firstByteMs: number | undefined;
 }
 
 /** Parts that the tracker works with. */
 export interface RolloutTrackerOptions
-  extends followedOrder.FollowedOrderOptions {
+  extends followedRollout.FollowedRolloutOptions {
   /** Writes how an order ended; resolves to whether it was written. */
   readonly report: (
-    order: routing.RolloutOrder,
+    rollout: routing.Rollout,
     state: routing.RolloutState,
   ) => Promise<boolean>;
   /** Place of this instance in the order in which instances report. */
-  readonly rank: () => number;
+  readonly reportRank: () => number;
 }
 
 /** Time between two instances' tries to report an end, in milliseconds. */
-const REPORT_STEP_MS = 300;
+const REPORT_STAGGER_MS = 300;
 
 /** An order, and how far the report of its end has come. */
-interface Tracked {
-  readonly followed: followedOrder.FollowedOrder;
+interface TrackedRollout {
+  readonly followed: followedRollout.FollowedRollout;
   /** When this instance may report the end; undefined while there is none. */
   reportAtMs: number | undefined;
   isReporting: boolean;
@@ -43,37 +43,37 @@
 
 /** The roll-outs of all services. */
 export class RolloutTracker {
-  private readonly byService = new Map<string, Tracked>();
+  private readonly byService = new Map<string, TrackedRollout>();
   /** Latencies of versions in use, learnt also while no order runs. */
-  private readonly latencies = new versionLatencies.VersionLatencies(work =>
-    this.isOnTrial(work),
+  private readonly latencies = new versionLatencies.VersionLatencies(
+    requestClass => this.isOnTrial(requestClass),
   );
 
   constructor(private readonly options: RolloutTrackerOptions) {}
 
   /** Takes in the orders that the store holds. */
-  takeOrders(orders: readonly routing.RolloutOrder[]): void {
-    const services = new Set(orders.map(({service}) => service));
+  applyRollouts(rollouts: readonly routing.Rollout[]): void {
+    const services = new Set(rollouts.map(({service}) => service));
     for (const service of this.byService.keys()) {
       if (!services.has(service)) {
         this.byService.delete(service);
       }
     }
-    orders.forEach(order => {
-      this.takeOrder(order);
+    rollouts.forEach(rollout => {
+      this.applyRollout(rollout);
     });
   }
 
-  private takeOrder(order: routing.RolloutOrder): void {
-    const {service, state, durationMs} = order;
-    const name = followedOrder.nameOrder(order);
+  private applyRollout(rollout: routing.Rollout): void {
+    const {service, state, durationMs} = rollout;
+    const name = followedRollout.rolloutNameOf(rollout);
     const known = this.byService.get(service)?.followed;
     if (known?.name === name) {
-      known.order = order;
+      known.rollout = rollout;
       return;
     }
     this.byService.set(service, {
-      followed: new followedOrder.FollowedOrder(order, this.options),
+      followed: new followedRollout.FollowedRollout(rollout, this.options),
       reportAtMs: undefined,
       isReporting: false,
     });
@@ -85,20 +85,20 @@
   chooseVersion(
     service: string,
     sessionKey: string,
-  ): followedOrder.VersionChoice {
+  ): followedRollout.VersionChoice {
     const tracked = this.byService.get(service);
     return tracked?.followed.chooseVersion(sessionKey) ?? {kind: 'any'};
   }
 
   /** Notes a finished try. */
-  note(sign: VersionSign): void {
-    const {firstByteMs} = sign;
+  recordAttempt(observation: VersionObservation): void {
+    const {firstByteMs} = observation;
     const isSlow =
       firstByteMs !== undefined &&
-      this.latencies.isFirstByteSlow(sign, firstByteMs);
-    this.count(sign, {
+      this.latencies.isFirstByteSlow(observation, firstByteMs);
+    this.count(observation, {
       requests: 1,
-      errors: sign.isBad ? 1 : 0,
+      errors: observation.isError ? 1 : 0,
       slow: isSlow ? 1 : 0,
     });
   }
@@ -110,24 +110,34 @@
    * then take five times as long: judged by first bytes alone it was reported
    * as done, and nothing else was left to go back to.
    */
-  notePace(sign: PaceSign): void {
-    const isDragging = this.latencies.isPaceSlow(sign, sign.paceMs);
-    this.count(sign, {paced: 1, dragging: isDragging ? 1 : 0});
+  recordPace(observation: PaceObservation): void {
+    const isDragging = this.latencies.isPaceSlow(
+      observation,
+      observation.paceMs,
+    );
+    this.count(observation, {paced: 1, dragging: isDragging ? 1 : 0});
   }
 
   /** Whether the version is one that an order brings in now. */
-  private isOnTrial({service, version}: versionLatencies.VersionWork): boolean {
+  private isOnTrial({
+    service,
+    version,
+  }: versionLatencies.RequestClass): boolean {
     const followed = this.byService.get(service)?.followed;
-    return followed?.isRunning === true && followed.order.version === version;
+    return followed?.isRunning === true && followed.rollout.version === version;
   }
 
   private count(
-    work: versionLatencies.VersionWork,
-    sign: orderEvidence.CountedSign,
+    requestClass: versionLatencies.RequestClass,
+    increment: evidenceTable.CountIncrement,
   ): void {
-    const followed = this.byService.get(work.service)?.followed;
+    const followed = this.byService.get(requestClass.service)?.followed;
     if (followed?.isRunning) {
-      followed.count(work.route, this.isOnTrial(work) ? 'new' : 'old', sign);
+      followed.count(
+        requestClass.route,
+        this.isOnTrial(requestClass) ? 'new' : 'old',
+        increment,
+      );
     }
   }
 
@@ -153,8 +163,8 @@
   }
 
   /** Evidence on orders that run: all that is known, or this instance's own. */
-  evidence(whose: 'all' | 'own' = 'all'): readonly protocol.OrderEvidence[] {
-    return this.running().flatMap(followed => followed.evidenceRows(whose));
+  evidence(scope: 'all' | 'own' = 'all'): readonly protocol.OrderEvidence[] {
+    return this.running().flatMap(followed => followed.evidenceRows(scope));
   }
 
   /** Evidence on orders that run, added up over instances. */
@@ -173,17 +183,17 @@
   }
 
   /** Takes in sums that a watcher made over all instances. */
-  takeSums(
+  applySums(
     progress: readonly protocol.RolloutProgress[],
     sums: readonly protocol.EvidenceSum[],
   ): void {
     this.running().forEach(followed => {
-      followed.takeSums(progress, sums);
+      followed.applySums(progress, sums);
     });
   }
 
   /** Reports ends that are due. */
-  step(): void {
+  reportDueEnds(): void {
     for (const tracked of this.byService.values()) {
       const end = tracked.followed.isRunning
         ? tracked.followed.findEnd()
@@ -194,7 +204,7 @@
     }
   }
 
-  private running(): readonly followedOrder.FollowedOrder[] {
+  private running(): readonly followedRollout.FollowedRollout[] {
     return [...this.byService.values()]
       .map(({followed}) => followed)
       .filter(({isRunning}) => isRunning);
@@ -204,16 +214,16 @@
    * Instances report one after the other, and only while the order still
    * runs: all at once they would cost the store a write each.
    */
-  private reportEnd(tracked: Tracked, end: routing.RolloutState): void {
-    const {rank, report, clock} = this.options;
+  private reportEnd(tracked: TrackedRollout, end: routing.RolloutState): void {
+    const {reportRank, report, clock} = this.options;
     const now = clock.now();
-    tracked.reportAtMs ??= now + rank() * REPORT_STEP_MS;
+    tracked.reportAtMs ??= now + reportRank() * REPORT_STAGGER_MS;
     if (now < tracked.reportAtMs || tracked.isReporting) {
       return;
     }
     tracked.isReporting = true;
     const {followed} = tracked;
-    void report(followed.order, end).then(isWritten => {
+    void report(followed.rollout, end).then(isWritten => {
       this.options.log.belief('rollout_reported', {
         order: followed.name,
         end,
@@ -221,7 +231,7 @@
         ageMs: Math.round(followed.ageMs),
       });
       tracked.isReporting = false;
-      tracked.reportAtMs = clock.now() + REPORT_STEP_MS;
+      tracked.reportAtMs = clock.now() + REPORT_STAGGER_MS;
     });
   }
 }
--- a/packages/gateway/src/gateway-parts.ts
+++ b/packages/gateway/src/run-context.ts
@@ -5,7 +5,7 @@
 import type * as routing from '@amaranthknot/routing';
 import type * as telemetry from '@amaranthknot/telemetry';
 import type * as callerRequest from './caller-request.js';
-import type * as capableModels from './capable-models.js';
+import type * as escalationPolicy from './escalation-policy.js';
 import type * as headerNames from './header-names.js';
 import type * as upstreamProbe from './upstream-probe.js';
 import type * as upstreamCall from './upstream-call.js';
@@ -25,7 +25,7 @@
  * abort signal. `upstream_silent` and `upstream_lost` end a try that goes on
  * elsewhere; a lost upstream accepts no connection either.
  */
-export type RunEnd =
+export type AbortReason =
   | 'caller_left'
   | 'time_up'
   | 'not_needed'
@@ -33,19 +33,19 @@
   | 'upstream_lost';
 
 /** How one try at an upstream ended, for placement. */
-export type TryOutcome = decisions.PickOutcome;
+export type AttemptOutcome = decisions.PickOutcome;
 
 /** A try at an upstream that was placed. */
-export interface PlacedTry {
+export interface PlacedAttempt {
   readonly upstream: routing.Upstream;
   /** What the choice was made from, for the log. */
   readonly inputs: telemetry.Details;
   /** Called when the head of the answer has come. */
-  readonly begun: () => void;
+  readonly recordHead: () => void;
   /** Called when an event of the answer has come. */
-  readonly passed: () => void;
+  readonly recordEvent: () => void;
   /** Called once when the try has ended. */
-  readonly settle: (outcome: TryOutcome) => void;
+  readonly settle: (outcome: AttemptOutcome) => void;
 }
 
 /** What to place. */
@@ -67,19 +67,19 @@
 export type PlacementRefusal = 'no_upstream' | 'no_budget';
 
 /** Chooses an upstream. */
-export type PlaceTry = (
+export type PlaceAttempt = (
   toPlace: PlacementRequest,
-) => purify.Either<PlacementRefusal, PlacedTry>;
+) => purify.Either<PlacementRefusal, PlacedAttempt>;
 
 /** Parts that runs of requests work with. */
-export interface RunParts {
+export interface RunDependencies {
   readonly clock: ports.Clock;
-  readonly dialect: headerNames.Dialect;
-  readonly place: PlaceTry;
+  readonly headerConventions: headerNames.HeaderConventions;
+  readonly place: PlaceAttempt;
   readonly openCall: upstreamCall.OpenCall;
   readonly latencies: decisions.LatencyBook;
   readonly probe: upstreamProbe.ProbeUpstream;
-  readonly capable: capableModels.CapableModels;
+  readonly escalation: escalationPolicy.EscalationPolicy;
 }
 
 /** One run: a request, its log, and what ends it early. */
@@ -91,4 +91,5 @@
 }
 
 /** Why a run's signal aborted. */
-export const endOf = (signal: AbortSignal): RunEnd => signal.reason as RunEnd;
+export const abortReasonOf = (signal: AbortSignal): AbortReason =>
+  signal.reason as AbortReason;
--- a/packages/gateway/src/try-upstream.ts
+++ b/packages/gateway/src/send-attempt.ts
@@ -1,12 +1,12 @@
 /** Sends a request to one placed upstream and takes its answer's head. */
 import type * as purify from 'purify-ts';
-import * as gatewayParts from './gateway-parts.js';
+import * as runContext from './run-context.js';
 import type * as upstreamCall from './upstream-call.js';
 import * as upstreamHeaders from './upstream-headers.js';
 
 /** One try. */
-export interface UpstreamTry {
-  readonly placed: gatewayParts.PlacedTry;
+export interface UpstreamAttempt {
+  readonly placed: runContext.PlacedAttempt;
   readonly model: string | undefined;
   /** Number of the last event that the caller has. */
   readonly lastEventId: string | undefined;
@@ -22,7 +22,7 @@
 const outcomeOf = (
   failure: upstreamCall.CallFailure,
   signal: AbortSignal,
-): gatewayParts.TryOutcome => {
+): runContext.AttemptOutcome => {
   switch (failure.reason) {
     case 'unreachable':
     case 'other_upstream':
@@ -30,7 +30,7 @@
     case 'refused':
       return 'refused';
     case 'cancelled':
-      return outcomeOfEnd(gatewayParts.endOf(signal));
+      return outcomeOfAbort(runContext.abortReasonOf(signal));
     case 'silent':
     case 'broken':
     case 'foreign_answer':
@@ -38,7 +38,9 @@
   }
 };
 
-const outcomeOfEnd = (end: gatewayParts.RunEnd): gatewayParts.TryOutcome => {
+const outcomeOfAbort = (
+  end: runContext.AbortReason,
+): runContext.AttemptOutcome => {
   switch (end) {
     case 'time_up':
     case 'upstream_silent':
@@ -53,20 +55,20 @@
 };
 
 /** Sends a request; the placed try is settled if it fails. */
-export const tryUpstream = async (
-  parts: gatewayParts.RunParts,
-  {request, log}: gatewayParts.RunContext,
-  attempt: UpstreamTry,
+export const sendAttempt = async (
+  dependencies: runContext.RunDependencies,
+  {request, log}: runContext.RunContext,
+  attempt: UpstreamAttempt,
 ): Promise<
   purify.Either<upstreamCall.CallFailure, upstreamCall.UpstreamAnswer>
 > => {
   const {placed, model, lastEventId, signal} = attempt;
   const {upstream, inputs} = placed;
   const {caller} = request;
-  const startedAtMs = parts.clock.now();
+  const startedAtMs = dependencies.clock.now();
   const timeLeftMs = request.deadlineMs - startedAtMs;
   log.step('request_placed', {upstream: upstream.id, model, ...inputs});
-  const opened = await parts.openCall(
+  const opened = await dependencies.openCall(
     {
       upstream,
       requestId: caller.id,
@@ -75,7 +77,7 @@
       headers: upstreamHeaders.createUpstreamHeaders(
         request,
         {upstreamId: upstream.id, timeLeftMs, model, lastEventId},
-        parts.dialect,
+        dependencies.headerConventions,
       ),
       body: caller.body,
       connection: attempt.connection,
@@ -84,7 +86,7 @@
     },
     signal,
   );
-  const tookMs = Math.round(parts.clock.now() - startedAtMs);
+  const tookMs = Math.round(dependencies.clock.now() - startedAtMs);
   opened.caseOf({
     Left: failure => {
       placed.settle(outcomeOf(failure, signal));
@@ -92,7 +94,7 @@
       log.failure('try_failed', {upstream: upstream.id, ran, reason, tookMs});
     },
     Right: () => {
-      placed.begun();
+      placed.recordHead();
     },
   });
   return opened;
--- a/packages/gateway/src/silence-watch.ts
+++ b/packages/gateway/src/stall-watchdog.ts
@@ -1,14 +1,14 @@
 /** Watches a silent upstream: first asks whether it is there, then gives up. */
 
 /** A watch over one stream. */
-export interface SilenceWatch {
+export interface StallWatchdog {
   /** Bytes have come. */
-  readonly touch: () => void;
+  readonly reset: () => void;
   readonly stop: () => void;
 }
 
 /** What a watch does when, in milliseconds of silence. */
-export interface SilenceOptions {
+export interface StallWatchdogOptions {
   readonly probeAfterMs: number;
   readonly stallAfterMs: number;
   readonly isReachable: () => Promise<boolean>;
@@ -17,51 +17,53 @@
    * it did. Otherwise the watch goes on: an upstream that is only slow may
    * still bring the whole answer.
    */
-  readonly leave: () => boolean;
+  readonly failOver: () => boolean;
 }
 
 /** A watch that never ends anything. */
-export const NO_WATCH: SilenceWatch = {
-  touch: () => undefined,
+export const NO_WATCHDOG: StallWatchdog = {
+  reset: () => undefined,
   stop: () => undefined,
 };
 
 /** Begins a watch. */
-export const watchSilence = (options: SilenceOptions): SilenceWatch => {
-  const {probeAfterMs, stallAfterMs, isReachable, leave} = options;
-  let touches = 0;
+export const startStallWatchdog = (
+  options: StallWatchdogOptions,
+): StallWatchdog => {
+  const {probeAfterMs, stallAfterMs, isReachable, failOver} = options;
+  let resets = 0;
   let isOver = false;
   const stop = () => {
     isOver = true;
     clearTimeout(probing);
     clearTimeout(stalling);
   };
-  const tryToLeave = (timer: NodeJS.Timeout) => {
+  const tryFailOver = (timer: NodeJS.Timeout) => {
     if (isOver) {
       return;
     }
-    if (leave()) {
+    if (failOver()) {
       stop();
     } else {
       timer.refresh();
     }
   };
   const probe = async (): Promise<void> => {
-    const touchesBefore = touches;
+    const resetsBefore = resets;
     const isThere = await isReachable();
-    if (!isThere && touches === touchesBefore) {
-      tryToLeave(probing);
+    if (!isThere && resets === resetsBefore) {
+      tryFailOver(probing);
     } else if (!isOver) {
       probing.refresh();
     }
   };
   const probing = setTimeout(() => void probe(), probeAfterMs);
   const stalling = setTimeout(() => {
-    tryToLeave(stalling);
+    tryFailOver(stalling);
   }, stallAfterMs);
   return {
-    touch: () => {
-      touches++;
+    reset: () => {
+      resets++;
       probing.refresh();
       stalling.refresh();
     },
--- a/packages/gateway/src/stream-opener.ts
+++ b/packages/gateway/src/stream-opener.ts
@@ -5,10 +5,10 @@
 import * as decisions from '@amaranthknot/decisions';
 import type * as routing from '@amaranthknot/routing';
 import type * as eventRelay from './event-relay.js';
-import * as gatewayParts from './gateway-parts.js';
+import * as runContext from './run-context.js';
 import type * as refusals from './refusal.js';
-import * as silenceWatch from './silence-watch.js';
-import * as tryUpstream from './try-upstream.js';
+import * as stallWatchdog from './stall-watchdog.js';
+import * as sendAttempt from './send-attempt.js';
 
 /** As for plain requests; a prompt is worth a longer wait. */
 const CONNECT_TIMEOUT_MS = 250;
@@ -25,7 +25,7 @@
 }
 
 /** Whether a stream was opened, and not refused. */
-export const isOpen = (
+export const isOpenStream = (
   found: OpenStream | refusals.Refusal,
 ): found is OpenStream => 'answer' in found;
 
@@ -35,14 +35,14 @@
   private runCount = 0;
   private sends = 0;
   /** A try that was placed before the one in progress was left. */
-  private reserved: gatewayParts.PlacedTry | undefined;
+  private reserved: runContext.PlacedAttempt | undefined;
 
   /**
    * @param findLastEventId number of the last event that the caller has.
    */
   constructor(
-    private readonly parts: gatewayParts.RunParts,
-    private readonly context: gatewayParts.RunContext,
+    private readonly dependencies: runContext.RunDependencies,
+    private readonly context: runContext.RunContext,
     private readonly findLastEventId: () => string | undefined,
   ) {}
 
@@ -52,7 +52,7 @@
   }
 
   /** Whether the route allows no further run. */
-  isSpent(): boolean {
+  isExhausted(): boolean {
     return this.runCount >= this.context.request.route.maxAttempts;
   }
 
@@ -69,12 +69,12 @@
       if (!found) {
         break;
       }
-      const result = await this.tryOnce(found, model);
+      const result = await this.runAttempt(found, model);
       if (typeof result === 'object') {
         return result;
       }
       this.excluded.add(found.upstream.id);
-      maySend = result === 'not_run' || (isResumable && !this.isSpent());
+      maySend = result === 'not_run' || (isResumable && !this.isExhausted());
     }
     return this.explainFailure();
   }
@@ -100,13 +100,13 @@
   watchForStall({
     placed,
     model,
-    ending,
-  }: OpenStream): silenceWatch.SilenceWatch {
+    abortController,
+  }: OpenStream): stallWatchdog.StallWatchdog {
     const {pauseTargetMs} = this.context.request.route;
     if (pauseTargetMs === undefined) {
-      return silenceWatch.NO_WATCH;
+      return stallWatchdog.NO_WATCHDOG;
     }
-    return this.watch(placed.upstream, model, ending, {
+    return this.startWatchdog(placed.upstream, model, abortController, {
       probeAfterMs: decisions.findProbeMs(pauseTargetMs),
       stallAfterMs: decisions.findStallMs(pauseTargetMs),
     });
@@ -115,19 +115,21 @@
   private place(
     model: string | undefined,
     excluded: ReadonlySet<string>,
-  ): gatewayParts.PlacedTry | undefined {
+  ): runContext.PlacedAttempt | undefined {
     const {request, log} = this.context;
     const isRepeat = this.sends > 0;
-    return this.parts.place({request, model, excluded, isRepeat}).caseOf({
-      Left: reason => {
-        log.step('try_not_placed', {reason, sends: this.sends});
-        return undefined;
-      },
-      Right: placed => placed,
-    });
+    return this.dependencies
+      .place({request, model, excluded, isRepeat})
+      .caseOf({
+        Left: reason => {
+          log.step('try_not_placed', {reason, sends: this.sends});
+          return undefined;
+        },
+        Right: placed => placed,
+      });
   }
 
-  private takeReserved(): gatewayParts.PlacedTry | undefined {
+  private takeReserved(): runContext.PlacedAttempt | undefined {
     const {reserved} = this;
     this.reserved = undefined;
     return reserved;
@@ -141,17 +143,17 @@
    * together, they want more repeats than there are, and those that get none
    * end broken though their engine would have gone on.
    */
-  private leave(
+  private failOver(
     upstream: routing.Upstream,
     model: string | undefined,
-    ending: AbortController,
-    end: gatewayParts.RunEnd,
+    abortController: AbortController,
+    end: runContext.AbortReason,
   ): boolean {
     const excluded = new Set([...this.excluded, upstream.id]);
     if (!this.reserve(model, excluded)) {
       return false;
     }
-    ending.abort(end);
+    abortController.abort(end);
     return true;
   }
 
@@ -163,40 +165,42 @@
     return {reason: 'no_upstream', retryAfterMs: RETRY_AFTER_MS};
   }
 
-  private async tryOnce(
-    placed: gatewayParts.PlacedTry,
+  private async runAttempt(
+    placed: runContext.PlacedAttempt,
     model: string | undefined,
   ): Promise<OpenStream | 'not_run' | 'unknown'> {
-    const {parts, context} = this;
+    const {dependencies, context} = this;
     const {request} = context;
     this.sends++;
     this.runCount++;
-    const startedAtMs = parts.clock.now();
-    const ending = new AbortController();
-    const watch = this.watchForHead(placed.upstream, model, ending);
-    const opened = await tryUpstream.tryUpstream(parts, context, {
+    const startedAtMs = dependencies.clock.now();
+    const abortController = new AbortController();
+    const watchdog = this.watchForHead(placed.upstream, model, abortController);
+    const opened = await sendAttempt.sendAttempt(dependencies, context, {
       placed,
       model,
       lastEventId: this.findLastEventId(),
       connection: request.route.isResumable ? 'kept' : 'fresh',
       connectTimeoutMs: CONNECT_TIMEOUT_MS,
       headTimeoutMs: request.deadlineMs - startedAtMs,
-      signal: AbortSignal.any([context.signal, ending.signal]),
+      signal: AbortSignal.any([context.signal, abortController.signal]),
     });
-    watch.stop();
-    const tookMs = parts.clock.now() - startedAtMs;
+    watchdog.stop();
+    const tookMs = dependencies.clock.now() - startedAtMs;
     if (opened.isLeft()) {
       const {ran} = opened.extract();
-      if (gatewayParts.endOf(ending.signal) === 'upstream_silent') {
+      if (
+        runContext.abortReasonOf(abortController.signal) === 'upstream_silent'
+      ) {
         // All may be slow: a wait that ended in vain is a wait as well.
-        this.noteWait(model, tookMs, true);
+        this.recordWait(model, tookMs, true);
       }
       this.runCount -= ran === 'not_run' ? 1 : 0;
       return ran;
     }
     const answer = opened.unsafeCoerce();
     if (answer.status >= 300) {
-      ending.abort('not_needed' satisfies gatewayParts.RunEnd);
+      abortController.abort('not_needed' satisfies runContext.AbortReason);
       placed.settle('failed');
       context.log.failure('try_failed', {
         upstream: placed.upstream.id,
@@ -206,21 +210,21 @@
       });
       return 'unknown';
     }
-    this.noteWait(model, tookMs, false);
-    return {placed, answer, model, ending};
+    this.recordWait(model, tookMs, false);
+    return {placed, answer, model, abortController};
   }
 
-  private noteWait(
+  private recordWait(
     model: string | undefined,
     waitMs: number,
-    wasInVain: boolean,
+    timedOut: boolean,
   ): void {
-    const {latencies, capable} = this.parts;
-    latencies.note(this.kindOf(model), waitMs);
-    capable.noteWait(this.context.request, model, waitMs, wasInVain);
+    const {latencies, escalation} = this.dependencies;
+    latencies.note(this.latencyKeyOf(model), waitMs);
+    escalation.recordWait(this.context.request, model, waitMs, timedOut);
   }
 
-  private kindOf(model: string | undefined): string {
+  private latencyKeyOf(model: string | undefined): string {
     const {service, route} = this.context.request;
     return `${service.name}/${route.name}/${model ?? ''}`;
   }
@@ -233,39 +237,39 @@
   private watchForHead(
     upstream: routing.Upstream,
     model: string | undefined,
-    ending: AbortController,
-  ): silenceWatch.SilenceWatch {
+    abortController: AbortController,
+  ): stallWatchdog.StallWatchdog {
     const {latencyTargetMs} = this.context.request.route;
-    return this.watch(upstream, model, ending, {
+    return this.startWatchdog(upstream, model, abortController, {
       probeAfterMs: decisions.findProbeMs(latencyTargetMs),
-      stallAfterMs: this.parts.latencies.firstTokenMs(
-        this.kindOf(model),
+      stallAfterMs: this.dependencies.latencies.firstTokenMs(
+        this.latencyKeyOf(model),
         latencyTargetMs,
       ),
     });
   }
 
-  private watch(
+  private startWatchdog(
     upstream: routing.Upstream,
     model: string | undefined,
-    ending: AbortController,
+    abortController: AbortController,
     times: {readonly probeAfterMs: number; readonly stallAfterMs: number},
-  ): silenceWatch.SilenceWatch {
-    if (!this.context.request.route.isResumable || this.isSpent()) {
-      return silenceWatch.NO_WATCH;
+  ): stallWatchdog.StallWatchdog {
+    if (!this.context.request.route.isResumable || this.isExhausted()) {
+      return stallWatchdog.NO_WATCHDOG;
     }
     let isReachable = true;
-    return silenceWatch.watchSilence({
+    return stallWatchdog.startStallWatchdog({
       ...times,
       isReachable: async () => {
-        isReachable = await this.parts.probe(upstream);
+        isReachable = await this.dependencies.probe(upstream);
         return isReachable;
       },
-      leave: () =>
-        this.leave(
+      failOver: () =>
+        this.failOver(
           upstream,
           model,
-          ending,
+          abortController,
           isReachable ? 'upstream_silent' : 'upstream_lost',
         ),
     });
--- a/packages/gateway/src/stream-run.ts
+++ b/packages/gateway/src/stream-run.ts
@@ -1,7 +1,7 @@
 /** Runs a request whose answer is a stream of events. */
 import type * as callerAnswer from './caller-answer.js';
 import * as eventRelay from './event-relay.js';
-import * as gatewayParts from './gateway-parts.js';
+import * as runContext from './run-context.js';
 import * as rawHeaders from './raw-headers.js';
 import type * as refusals from './refusal.js';
 import * as streamOpener from './stream-opener.js';
@@ -15,13 +15,13 @@
   private readonly relay: eventRelay.EventRelay;
 
   constructor(
-    private readonly parts: gatewayParts.RunParts,
-    private readonly context: gatewayParts.RunContext,
+    private readonly dependencies: runContext.RunDependencies,
+    private readonly context: runContext.RunContext,
     private readonly answer: callerAnswer.CallerAnswer,
   ) {
     const {lastEventId} = context.request.caller;
     this.relay = new eventRelay.EventRelay(answer, lastEventId, context.signal);
-    this.opener = new streamOpener.StreamOpener(parts, context, () =>
+    this.opener = new streamOpener.StreamOpener(dependencies, context, () =>
       this.nextLastEventId(),
     );
   }
@@ -41,14 +41,14 @@
   private async openAndRelay(): Promise<refusals.Refusal | undefined> {
     const {log} = this.context;
     const first = await this.openBest();
-    if (!streamOpener.isOpen(first)) {
+    if (!streamOpener.isOpenStream(first)) {
       return first;
     }
     let open = first;
     this.beginAnswer(open);
     for (;;) {
-      const watch = this.opener.watchForStall(open);
-      const end = await this.relay.run(open, watch);
+      const watchdog = this.opener.watchForStall(open);
+      const end = await this.relay.run(open, watchdog);
       const upstream = open.placed.upstream.id;
       const {lastEventId} = this.relay;
       if (end === 'complete') {
@@ -58,7 +58,7 @@
       }
       const next = await this.resume(open.model);
       if (!next) {
-        this.noteBroken(upstream);
+        this.logBroken(upstream);
         this.answer.breakOff();
         return undefined;
       }
@@ -68,14 +68,14 @@
     }
   }
 
-  private noteBroken(upstream: string): void {
+  private logBroken(upstream: string): void {
     const {signal, log} = this.context;
     const details = {
       upstream,
       lastEventId: this.relay.lastEventId,
       runs: this.opener.runs,
     };
-    if (signal.aborted && gatewayParts.endOf(signal) === 'caller_left') {
+    if (signal.aborted && runContext.abortReasonOf(signal) === 'caller_left') {
       log.step('caller_left', details);
     } else {
       log.failure('answer_broken', details);
@@ -92,20 +92,24 @@
     const capable = models.at(-1);
     const open = await opener.open(cheapest);
     if (
-      !streamOpener.isOpen(open) ||
+      !streamOpener.isOpenStream(open) ||
       cheapest === capable ||
-      opener.isSpent()
+      opener.isExhausted()
     ) {
       return open;
     }
     const {confidence = 100} = open.answer;
     const {request} = this.context;
-    const judged = this.parts.capable.judge(request, capable, confidence);
+    const judged = this.dependencies.escalation.decide(
+      request,
+      capable,
+      confidence,
+    );
     this.context.log.step('model_judged', {...judged, model: capable});
     if (!judged.runs || !opener.reserve(capable)) {
       return open;
     }
-    open.ending.abort('not_needed' satisfies gatewayParts.RunEnd);
+    open.abortController.abort('not_needed' satisfies runContext.AbortReason);
     open.placed.settle('answered');
     return opener.open(capable);
   }
@@ -128,10 +132,10 @@
   ): Promise<streamOpener.OpenStream | undefined> {
     const {request, signal} = this.context;
     const {opener} = this;
-    if (!request.route.isResumable || opener.isSpent() || signal.aborted) {
+    if (!request.route.isResumable || opener.isExhausted() || signal.aborted) {
       return undefined;
     }
     const open = await opener.open(model);
-    return streamOpener.isOpen(open) ? open : undefined;
+    return streamOpener.isOpenStream(open) ? open : undefined;
   }
 }
--- a/packages/gateway/src/upstream-call.ts
+++ b/packages/gateway/src/upstream-call.ts
@@ -76,7 +76,7 @@
 ) => Promise<purify.Either<CallFailure, UpstreamAnswer>>;
 
 /** Takes in the limit that an upstream's answer names; undefined: none. */
-export type NoteLimit = (
+export type RecordLimit = (
   upstreamId: string,
   perSecond: number | undefined,
 ) => void;
@@ -84,21 +84,21 @@
 /** Statuses by which an upstream may say that a request has not run. */
 const MISDIRECTED = 421;
 
-const readLoad = (text: string | undefined): UpstreamLoad | undefined => {
+const parseLoad = (text: string | undefined): UpstreamLoad | undefined => {
   const [running, waiting, slots] = (text ?? '').split(',').map(Number);
   return running !== undefined && Number.isFinite(running)
     ? {running, waiting: waiting ?? 0, slots: slots ?? 0}
     : undefined;
 };
 
-const readNumber = (text: string | undefined): number | undefined => {
+const parseNumber = (text: string | undefined): number | undefined => {
   const value = Number(text);
   return text === undefined || !Number.isFinite(value) ? undefined : value;
 };
 
 /** A limit that can't be read, or is below nothing, is none. */
-const readRate = (text: string | undefined): number | undefined => {
-  const rate = readNumber(text);
+const parseRate = (text: string | undefined): number | undefined => {
+  const rate = parseNumber(text);
   return rate === undefined || rate < 0 ? undefined : rate;
 };
 
@@ -106,7 +106,7 @@
 export const createOpenCall = (
   pool: connectionPool.ConnectionPool,
   names: headerNames.HeaderNames,
-  noteLimit: NoteLimit,
+  recordLimit: RecordLimit,
 ): OpenCall => {
   const lower = {
     requestId: names.requestId.toLowerCase(),
@@ -116,14 +116,14 @@
     rateLimit: names.rateLimit.toLowerCase(),
   };
 
-  const judge = (
+  const classify = (
     request: UpstreamRequest,
     response: http.IncomingMessage,
     isBroken: () => boolean,
   ): purify.Either<CallFailure, UpstreamAnswer> => {
     const headers = response.rawHeaders;
     const status = response.statusCode ?? 0;
-    const load = readLoad(rawHeaders.findHeader(headers, lower.load));
+    const load = parseLoad(rawHeaders.findHeader(headers, lower.load));
     // A late or doubled answer to an earlier request on this connection bears
     // that request's identity. Handed on, a caller would get another's answer.
     if (rawHeaders.findHeader(headers, lower.requestId) !== request.requestId) {
@@ -133,7 +133,7 @@
     const isOther = status === MISDIRECTED;
     if (!isOther) {
       const limit = rawHeaders.findHeader(headers, lower.rateLimit);
-      noteLimit(request.upstream.id, readRate(limit));
+      recordLimit(request.upstream.id, parseRate(limit));
     }
     if (isOther || rawHeaders.findHeader(headers, lower.notRun) !== undefined) {
       response.resume();
@@ -143,7 +143,7 @@
         ...(load ? {load} : {}),
       });
     }
-    const confidence = readNumber(
+    const confidence = parseNumber(
       rawHeaders.findHeader(headers, lower.confidence),
     );
     return purify.Right({
@@ -193,7 +193,7 @@
         // Until its reader listens, a broken body must not end the process.
         response.on('error', () => undefined);
         const wasReset = watchForReset(response);
-        resolve(judge(request, response, () => hasFailed || wasReset()));
+        resolve(classify(request, response, () => hasFailed || wasReset()));
       });
       // Errors after the head are the body's, and its reader sees them.
       sending.on('error', () => {
--- a/packages/gateway/src/upstream-catalog.ts
+++ b/packages/gateway/src/upstream-catalog.ts
@@ -67,38 +67,38 @@
   /**
    * Takes in all entries.
    *
-   * @param isStoreCalm whether the store has answered all the while: then a
+   * @param isStoreStable whether the store has answered all the while: then a
    *     missing entry means that the upstream is gone.
    */
   update(
     objects: ReadonlyMap<string, ports.StoredObject>,
     nowMs: number,
-    isStoreCalm: boolean,
+    isStoreStable: boolean,
   ): void {
     for (const object of objects.values()) {
-      this.take(object, nowMs);
+      this.applyEntry(object, nowMs);
     }
     for (const [id, row] of this.rows) {
       if (objects.has(id)) {
         continue;
       }
-      if (row.lapsedAtMs === undefined && !isStoreCalm) {
+      if (row.lapsedAtMs === undefined && !isStoreStable) {
         this.changes.push({kind: 'kept', known: row.known});
       }
       row.lapsedAtMs ??= nowMs;
     }
-    this.tick(nowMs, isStoreCalm);
+    this.expire(nowMs, isStoreStable);
   }
 
   /** Drops what is missing, and what has been missing for too long. */
-  tick(nowMs: number, isStoreCalm: boolean): void {
+  expire(nowMs: number, isStoreStable: boolean): void {
     for (const [id, {lapsedAtMs}] of this.rows) {
       const isMissing = lapsedAtMs !== undefined;
-      if (isMissing && (isStoreCalm || this.isOverdue(lapsedAtMs, nowMs))) {
+      if (isMissing && (isStoreStable || this.isOverdue(lapsedAtMs, nowMs))) {
         this.remove(id);
       }
     }
-    this.tellChanges();
+    this.notifyChanges();
   }
 
   /** All upstreams that are there, leaving ones included. */
@@ -119,7 +119,7 @@
     }
   }
 
-  private tellChanges(): void {
+  private notifyChanges(): void {
     const {changes} = this;
     if (changes.length > 0) {
       this.changes = [];
@@ -131,7 +131,7 @@
     return nowMs - lapsedAtMs >= this.options.lapseGraceMs;
   }
 
-  private take(object: ports.StoredObject, nowMs: number): void {
+  private applyEntry(object: ports.StoredObject, nowMs: number): void {
     const before = this.rows.get(object.name);
     if (before?.version === object.version) {
       delete before.lapsedAtMs;
--- a/packages/gateway/src/upstream-headers.ts
+++ b/packages/gateway/src/upstream-headers.ts
@@ -1,11 +1,11 @@
 /** Headers of the request that goes to an upstream. */
 import * as decisions from '@amaranthknot/decisions';
-import type * as gatewayParts from './gateway-parts.js';
+import type * as runContext from './run-context.js';
 import type * as headerNames from './header-names.js';
 import * as rawHeaders from './raw-headers.js';
 
 /** What this instance sets for one try. */
-export interface TryHeaders {
+export interface AttemptHeaders {
   readonly upstreamId: string;
   readonly timeLeftMs: number;
   readonly model: string | undefined;
@@ -14,8 +14,10 @@
 }
 
 /** Lower-case names of headers that are never handed on as they came. */
-const findReplaced = (dialect: headerNames.Dialect): ReadonlySet<string> => {
-  const {headers, instanceOnlyHeaders} = dialect;
+const findReplaced = (
+  headerConventions: headerNames.HeaderConventions,
+): ReadonlySet<string> => {
+  const {headers, instanceOnlyHeaders} = headerConventions;
   const names = [
     ...instanceOnlyHeaders,
     headers.timeLeft,
@@ -28,23 +30,32 @@
   return new Set(names.map(name => name.toLowerCase()));
 };
 
-const replacedBy = new WeakMap<headerNames.Dialect, ReadonlySet<string>>();
+const replacedBy = new WeakMap<
+  headerNames.HeaderConventions,
+  ReadonlySet<string>
+>();
 
-const replacedOf = (dialect: headerNames.Dialect): ReadonlySet<string> => {
-  const known = replacedBy.get(dialect) ?? findReplaced(dialect);
-  replacedBy.set(dialect, known);
+const replacedOf = (
+  headerConventions: headerNames.HeaderConventions,
+): ReadonlySet<string> => {
+  const known =
+    replacedBy.get(headerConventions) ?? findReplaced(headerConventions);
+  replacedBy.set(headerConventions, known);
   return known;
 };
 
 /** Puts together the headers of one try. */
 export const createUpstreamHeaders = (
-  request: gatewayParts.AcceptedRequest,
-  attempt: TryHeaders,
-  dialect: headerNames.Dialect,
+  request: runContext.AcceptedRequest,
+  attempt: AttemptHeaders,
+  headerConventions: headerNames.HeaderConventions,
 ): rawHeaders.RawHeaders => {
   const {caller, workspace} = request;
-  const {headers: names} = dialect;
-  const headers = rawHeaders.keepEndToEnd(caller.headers, replacedOf(dialect));
+  const {headers: names} = headerConventions;
+  const headers = rawHeaders.keepEndToEnd(
+    caller.headers,
+    replacedOf(headerConventions),
+  );
   headers.push(names.expectedUpstream, attempt.upstreamId);
   headers.push(names.timeLeft, String(Math.floor(attempt.timeLeftMs)));
   if (caller.generation) {
--- a/packages/gateway/src/upstream-placement.ts
+++ b/packages/gateway/src/upstream-placement.ts
@@ -4,8 +4,8 @@
 import * as purify from 'purify-ts';
 import type * as telemetry from '@amaranthknot/telemetry';
 import * as callerRequest from './caller-request.js';
-import type * as gatewayParts from './gateway-parts.js';
-import type * as followedOrder from './followed-order.js';
+import type * as runContext from './run-context.js';
+import type * as followedRollout from './followed-rollout.js';
 import type * as rolloutTracker from './rollout-tracker.js';
 import type * as upstreamCatalog from './upstream-catalog.js';
 
@@ -48,8 +48,8 @@
    * the budget of all instances does not allow.
    */
   place(
-    toPlace: gatewayParts.PlacementRequest,
-  ): purify.Either<gatewayParts.PlacementRefusal, gatewayParts.PlacedTry> {
+    toPlace: runContext.PlacementRequest,
+  ): purify.Either<runContext.PlacementRefusal, runContext.PlacedAttempt> {
     const {picker} = this.options;
     const work = describeWork(toPlace);
     const candidates = this.findCandidates(toPlace);
@@ -61,7 +61,7 @@
     if (!this.payForRepeat(toPlace)) {
       return purify.Left('no_budget');
     }
-    const tried = this.begin(known, toPlace, work);
+    const tried = this.beginAttempt(known, toPlace, work);
     const inputs = this.describeChoice(known, candidates.length, toPlace);
     return purify.Right({...tried, inputs});
   }
@@ -69,7 +69,7 @@
   private describeChoice(
     {upstream, coldUntilMs}: Known,
     candidates: number,
-    {isRepeat}: gatewayParts.PlacementRequest,
+    {isRepeat}: runContext.PlacementRequest,
   ): telemetry.Details {
     return {
       zone: upstream.zone,
@@ -83,7 +83,7 @@
     };
   }
 
-  private payForRepeat({request, isRepeat}: gatewayParts.PlacementRequest) {
+  private payForRepeat({request, isRepeat}: runContext.PlacementRequest) {
     const {repeats} = this.options;
     const {name} = request.service;
     if (isRepeat) {
@@ -94,7 +94,7 @@
   }
 
   private findCandidates(
-    toPlace: gatewayParts.PlacementRequest,
+    toPlace: runContext.PlacementRequest,
   ): readonly routing.Upstream[] {
     const usable = this.options.catalog
       .all()
@@ -107,12 +107,12 @@
     if (version.kind === 'any') {
       return usable.map(({upstream}) => upstream);
     }
-    const {accepts, fallback, concentration} = version;
+    const {accepts, fallback, subset} = version;
     const wanted = usable
       .map(({upstream}) => upstream)
       .filter(upstream => accepts(upstream.version));
-    if (wanted.length > 0 && concentration) {
-      return concentrate(wanted, concentration);
+    if (wanted.length > 0 && subset) {
+      return selectSubset(wanted, subset);
     }
     return wanted.length > 0 || !fallback
       ? wanted
@@ -123,7 +123,7 @@
 
   private mayTake(
     {upstream, coldUntilMs}: Known,
-    {request, excluded}: gatewayParts.PlacementRequest,
+    {request, excluded}: runContext.PlacementRequest,
   ): boolean {
     const {isZoneOut} = this.options;
     return (
@@ -131,17 +131,17 @@
       upstream.state === 'ready' &&
       !excluded.has(upstream.id) &&
       !isZoneOut(upstream.zone) &&
-      this.isAtHome(upstream, request) &&
-      this.mayBearMore(upstream, coldUntilMs, request.service) &&
+      this.isRegionAllowed(upstream, request) &&
+      this.hasColdCapacity(upstream, coldUntilMs, request.service) &&
       this.options.limits.maySend(upstream.id)
     );
   }
 
-  private isAtHome(
+  private isRegionAllowed(
     upstream: routing.Upstream,
-    {route, workspace}: gatewayParts.AcceptedRequest,
+    {route, workspace}: runContext.AcceptedRequest,
   ): boolean {
-    const homes = [route.homeRegions, workspace?.homeRegions ?? []];
+    const homes = [route.allowedRegions, workspace?.allowedRegions ?? []];
     return homes.every(
       regions =>
         regions.length === 0 ||
@@ -149,7 +149,7 @@
     );
   }
 
-  private mayBearMore(
+  private hasColdCapacity(
     upstream: routing.Upstream,
     coldUntilMs: number,
     service: routing.Service,
@@ -162,18 +162,18 @@
     return sent < this.options.coldShare(upstream, service);
   }
 
-  private begin(
+  private beginAttempt(
     known: Known,
-    toPlace: gatewayParts.PlacementRequest,
+    toPlace: runContext.PlacementRequest,
     pickWork: decisions.PickWork,
-  ): Omit<gatewayParts.PlacedTry, 'inputs'> {
+  ): Omit<runContext.PlacedAttempt, 'inputs'> {
     const {upstream} = known;
     const {rollouts} = this.options;
     const startedAtMs = this.options.now();
-    this.noteColdSend(known, startedAtMs);
+    this.recordColdSend(known, startedAtMs);
     this.options.limits.recordSend(upstream.id);
     const ticket = this.options.picker.start(upstream.id, pickWork);
-    const work = {
+    const requestClass = {
       service: toPlace.request.service.name,
       version: upstream.version,
       route: toPlace.request.route.name,
@@ -183,17 +183,17 @@
     const pace = new decisions.StreamPace();
     const notePace = (paceMs: number | undefined) => {
       if (paceMs !== undefined) {
-        rollouts.notePace({...work, paceMs});
+        rollouts.recordPace({...requestClass, paceMs});
       }
     };
     let firstByteMs: number | undefined;
     let isOpen = true;
     return {
       upstream,
-      passed: () => {
+      recordEvent: () => {
         notePace(pace.note(this.options.now()));
       },
-      begun: () => {
+      recordHead: () => {
         firstByteMs ??= this.options.now() - startedAtMs;
         ticket.begun();
       },
@@ -201,14 +201,18 @@
         ticket.end(outcome);
         if (isOpen && (outcome === 'answered' || outcome === 'failed')) {
           notePace(pace.take());
-          rollouts.note({...work, isBad: outcome === 'failed', firstByteMs});
+          rollouts.recordAttempt({
+            ...requestClass,
+            isError: outcome === 'failed',
+            firstByteMs,
+          });
         }
         isOpen = false;
       },
     };
   }
 
-  private noteColdSend({upstream, coldUntilMs}: Known, now: number): void {
+  private recordColdSend({upstream, coldUntilMs}: Known, now: number): void {
     if (now >= coldUntilMs) {
       this.coldSends.delete(upstream.id);
       return;
@@ -221,18 +225,18 @@
   }
 }
 
-const concentrate = (
+const selectSubset = (
   upstreams: readonly routing.Upstream[],
-  {key, part}: followedOrder.VersionConcentration,
+  {key, fraction}: followedRollout.UpstreamSubset,
 ): readonly routing.Upstream[] => {
   const ids = upstreams.map(({id}) => id);
-  const count = Math.max(1, Math.ceil(part * ids.length));
+  const count = Math.max(1, Math.ceil(fraction * ids.length));
   const first = decisions.rankByRendezvous(key, ids, count);
   return upstreams.filter(({id}) => first.includes(id));
 };
 
 /** Part of the dearest model's price, as the weight of a prompt's tokens. */
-const weightOf = (
+const promptWeightOf = (
   model: string | undefined,
   engine: routing.Engine | undefined,
 ): number => {
@@ -243,7 +247,7 @@
 };
 
 const describeWork = (
-  toPlace: gatewayParts.PlacementRequest,
+  toPlace: runContext.PlacementRequest,
 ): decisions.PickWork => {
   const {caller, service} = toPlace.request;
   const {generation} = caller;
@@ -255,7 +259,7 @@
       sharedKey: undefined,
     };
   }
-  const weight = weightOf(toPlace.model, service.engine);
+  const weight = promptWeightOf(toPlace.model, service.engine);
   // The last part belongs to the request or its session.
   const shared = generation.parts.slice(0, -1);
   const sharedTokens = shared.reduce((sum, {tokens}) => sum + tokens, 0);
@@ -267,7 +271,7 @@
   const isCapable = toPlace.model === models.at(-1);
   return {
     promptTokens: generation.promptTokens * weight,
-    answerTokens: callerRequest.expectAnswerTokens(generation) * weight,
+    answerTokens: callerRequest.estimateAnswerTokens(generation) * weight,
     sharedTokens: sharedTokens * weight,
     sharedKey,
     ...(models.length < 2 ? {} : {tier: isCapable ? 'capable' : 'cheap'}),
--- a/packages/gateway/src/upstream-probe.ts
+++ b/packages/gateway/src/upstream-probe.ts
@@ -10,12 +10,12 @@
  * Longest wait for a connection, in milliseconds: many round trips between
  * zones, and a lost packet is not sent again within it.
  */
-const CONNECT_MS = 150;
+const CONNECT_TIMEOUT_MS = 150;
 
 /** Time for which an answer holds, in milliseconds, for all who ask. */
-const ANSWER_MS = 300;
+const RESULT_TTL_MS = 300;
 
-interface Asked {
+interface CachedProbe {
   readonly atMs: number;
   readonly answer: Promise<boolean>;
 }
@@ -30,7 +30,7 @@
     };
     const timer = setTimeout(() => {
       finish(false);
-    }, CONNECT_MS);
+    }, CONNECT_TIMEOUT_MS);
     socket.once('connect', () => {
       finish(true);
     });
@@ -45,16 +45,16 @@
  * all streams that ask about one upstream, one connects.
  */
 export const createProbe = (clock: ports.Clock): ProbeUpstream => {
-  const asked = new Map<string, Asked>();
+  const probes = new Map<string, CachedProbe>();
   return upstream => {
-    const known = asked.get(upstream.id);
-    if (known && clock.now() - known.atMs < ANSWER_MS) {
+    const known = probes.get(upstream.id);
+    if (known && clock.now() - known.atMs < RESULT_TTL_MS) {
       return known.answer;
     }
     const answer = connect(upstream);
-    asked.set(upstream.id, {atMs: clock.now(), answer});
+    probes.set(upstream.id, {atMs: clock.now(), answer});
     return answer.then(isReachable => {
-      setTimeout(() => asked.delete(upstream.id), ANSWER_MS).unref();
+      setTimeout(() => probes.delete(upstream.id), RESULT_TTL_MS).unref();
       return isReachable;
     });
   };
--- a/packages/gateway/src/version-latencies.ts
+++ b/packages/gateway/src/version-latencies.ts
@@ -2,7 +2,7 @@
 import * as decisions from '@amaranthknot/decisions';
 
 /** What ran: answers of the same service, route and model are alike. */
-export interface VersionWork {
+export interface RequestClass {
   readonly service: string;
   readonly version: string;
   readonly route: string;
@@ -29,7 +29,7 @@
 const SLOW_STREAM_FACTOR = 8;
 
 /** Names work whose latencies are about the same. */
-const nameWork = ({service, route, model}: VersionWork): string =>
+const classKeyOf = ({service, route, model}: RequestClass): string =>
   `${service}/${route}/${model ?? ''}`;
 
 /** Latencies that one instance saw, by kind of work. */
@@ -38,29 +38,36 @@
   private readonly paces = new decisions.UsualLatency();
 
   /** @param isOnTrial whether a version is one that an order brings in now. */
-  constructor(private readonly isOnTrial: (work: VersionWork) => boolean) {}
+  constructor(
+    private readonly isOnTrial: (requestClass: RequestClass) => boolean,
+  ) {}
 
   /** Whether a first byte came late; learns what is usual. */
-  isFirstByteSlow(work: VersionWork, firstByteMs: number): boolean {
-    const factor = work.isStream ? SLOW_STREAM_FACTOR : SLOW_FACTOR;
-    return this.isBeyond(this.firstBytes, work, firstByteMs, factor);
+  isFirstByteSlow(requestClass: RequestClass, firstByteMs: number): boolean {
+    const factor = requestClass.isStream ? SLOW_STREAM_FACTOR : SLOW_FACTOR;
+    return this.exceedsUsual(
+      this.firstBytes,
+      requestClass,
+      firstByteMs,
+      factor,
+    );
   }
 
   /** Whether a stream's events come slowly; learns what is usual. */
-  isPaceSlow(work: VersionWork, paceMs: number): boolean {
-    return this.isBeyond(this.paces, work, paceMs, SLOW_FACTOR);
+  isPaceSlow(requestClass: RequestClass, paceMs: number): boolean {
+    return this.exceedsUsual(this.paces, requestClass, paceMs, SLOW_FACTOR);
   }
 
   /** What a version on trial takes is not usual, however often it is seen. */
-  private isBeyond(
+  private exceedsUsual(
     usual: decisions.UsualLatency,
-    work: VersionWork,
+    requestClass: RequestClass,
     latencyMs: number,
     factor: number,
   ): boolean {
-    const name = nameWork(work);
+    const name = classKeyOf(requestClass);
     const usualMs = usual.medianMs(name);
-    if (!this.isOnTrial(work)) {
+    if (!this.isOnTrial(requestClass)) {
       usual.note(name, latencyMs);
     }
     return usualMs !== undefined && latencyMs > factor * usualMs;
--- a/packages/gateway/tests/side-server.test.ts
+++ b/packages/gateway/tests/auxiliary-server.test.ts
@@ -124,7 +124,7 @@
 
   it('tell a caller where to connect, or that it is not known yet', async () => {
     const port = await findFreePort();
-    const asked: gateway.DirectoryQuestion[] = [];
+    const asked: gateway.DirectoryQuery[] = [];
     const server = gateway.createDirectoryServer(
       {host: HOST, port},
       PATH,
--- a/packages/gateway/tests/rollout-tracker.test.ts
+++ b/packages/gateway/tests/rollout-tracker.test.ts
@@ -36,10 +36,10 @@
     sessionMs: SESSION_MS,
     limit: {share: 0.15, slack: 30},
     report: () => Promise.resolve(false),
-    rank: () => 0,
+    reportRank: () => 0,
     log,
   });
-  tracker.takeOrders([
+  tracker.applyRollouts([
     {
       service: 'engines',
       version: 'v2',
@@ -52,15 +52,15 @@
   return {
     tracker,
     answer: (version, firstByteMs) => {
-      tracker.note({
+      tracker.recordAttempt({
         ...WORK,
         version,
-        isBad: false,
+        isError: false,
         firstByteMs,
       });
     },
     stream: (version, paceMs) => {
-      tracker.notePace({...WORK, version, paceMs});
+      tracker.recordPace({...WORK, version, paceMs});
     },
     isExposed: () =>
       Array.from({length: 500}, (_, i) => `session-${i}`).some(session => {
--- a/packages/gateway/tests/silence-watch.test.ts
+++ b/packages/gateway/tests/stall-watchdog.test.ts
@@ -1,16 +1,16 @@
 import * as chai from 'chai';
-import * as silenceWatch from '../src/silence-watch.js';
+import * as stallWatchdog from '../src/stall-watchdog.js';
 
 /** Plays a watch and resolves once it has left, with how often it tried. */
 const playWatch = (
-  options: Omit<silenceWatch.SilenceOptions, 'leave'>,
+  options: Omit<stallWatchdog.StallWatchdogOptions, 'failOver'>,
   leavesAt: number,
 ): Promise<number> =>
   new Promise(resolve => {
     let tries = 0;
-    silenceWatch.watchSilence({
+    stallWatchdog.startStallWatchdog({
       ...options,
-      leave: () => {
+      failOver: () => {
         tries++;
         if (tries === leavesAt) {
           resolve(tries);
@@ -45,7 +45,7 @@
     let probes = 0;
     let left = false;
     await new Promise<void>(resolve => {
-      const watch = silenceWatch.watchSilence({
+      const watch = stallWatchdog.startStallWatchdog({
         probeAfterMs: 2,
         stallAfterMs: NEVER_MS,
         isReachable: () => {
@@ -56,7 +56,7 @@
           }
           return Promise.resolve(true);
         },
-        leave: () => {
+        failOver: () => {
           left = true;
           return true;
         },
--- a/packages/gateway/tests/upstream-catalog.test.ts
+++ b/packages/gateway/tests/upstream-catalog.test.ts
@@ -66,7 +66,7 @@
     catalog.update(entriesOf({}), 100, false);
     chai.expect(idsOf(catalog)).eql(['a', 'b']);
     catalog.update(entriesOf({a: {}}, 2), 900, false);
-    catalog.tick(100 + GRACE_MS, false);
+    catalog.expire(100 + GRACE_MS, false);
     chai.expect(idsOf(catalog)).eql(['a']);
   });
 
@@ -76,7 +76,7 @@
     const catalog = createCatalog();
     catalog.update(entriesOf({a: {}}), 0, true);
     catalog.update(entriesOf({}), 1_500, false);
-    catalog.tick(GRACE_MS + 100, true);
+    catalog.expire(GRACE_MS + 100, true);
     chai.expect(idsOf(catalog)).empty;
   });
 
--- a/packages/routing/src/rollout.ts
+++ b/packages/routing/src/rollout.ts
@@ -4,7 +4,7 @@
 export type RolloutState = 'running' | 'completed' | 'rolled_back';
 
 /** An order to move a service's traffic to another version. */
-export interface RolloutOrder {
+export interface Rollout {
   readonly service: string;
   /** Version that is to take over. */
   readonly version: string;
--- a/packages/routing/src/routing-table.ts
+++ b/packages/routing/src/routing-table.ts
@@ -45,7 +45,7 @@
   /** Models that may answer, cheapest first; empty where the caller chooses. */
   readonly models: readonly string[];
   /** Regions in which requests may run; empty for all. */
-  readonly homeRegions: readonly string[];
+  readonly allowedRegions: readonly string[];
 }
 
 /** A model that a service runs. */
@@ -84,7 +84,7 @@
   /** Rank among workspaces; 0 is the most urgent. */
   readonly priority?: number;
   /** Regions in which its requests may run; empty for all. */
-  readonly homeRegions: readonly string[];
+  readonly allowedRegions: readonly string[];
 }
 
 /** What callers may send, in bytes, and how slowly, in milliseconds. */
--- a/packages/upstreams/src/answer-assembler.ts
+++ b/packages/upstreams/src/answer-assembler.ts
@@ -26,7 +26,7 @@
 }
 
 /** What became of a chunk. */
-export type ChunkVerdict =
+export type ChunkResult =
   | {readonly kind: 'token'; readonly text: string}
   | {readonly kind: 'end'; readonly end: AnswerEnd}
   | {
@@ -36,31 +36,31 @@
 
 /** Takes the chunks of one answer in order, each once. */
 export class AnswerAssembler {
-  private expected = 0;
+  private nextOffset = 0;
 
   /** @param id identity of the request that the answer belongs to. */
   constructor(private readonly id: string) {}
 
   /** Tokens taken so far; where a broken stream is resumed. */
   get offset(): number {
-    return this.expected;
+    return this.nextOffset;
   }
 
   /** Judges the next chunk. */
-  take(chunk: Chunk): ChunkVerdict {
+  take(chunk: Chunk): ChunkResult {
     if (chunk.id !== this.id) {
       return {kind: 'discarded', reason: 'crossed'};
     }
-    if (chunk.offset < this.expected) {
+    if (chunk.offset < this.nextOffset) {
       return {kind: 'discarded', reason: 'doubled'};
     }
-    if (chunk.offset > this.expected) {
+    if (chunk.offset > this.nextOffset) {
       return {kind: 'discarded', reason: 'gap'};
     }
     if (chunk.end) {
       return {kind: 'end', end: chunk.end};
     }
-    this.expected++;
+    this.nextOffset++;
     return {kind: 'token', text: chunk.text};
   }
 }
--- a/packages/upstreams/src/engine-client.ts
+++ b/packages/upstreams/src/engine-client.ts
@@ -7,7 +7,7 @@
 import type * as answerAssembler from './answer-assembler.js';
 
 /** Whether the upstream may have begun the work. */
-export type Ran = 'not_run' | 'unknown' | 'ran';
+export type ExecutionStatus = 'not_run' | 'unknown' | 'ran';
 
 /** A call to an engine. */
 export interface EngineCall {
@@ -36,23 +36,23 @@
 /** A failed stream. */
 export interface EngineFailure {
   readonly code: EngineFailureCode;
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
   readonly message: string;
 }
 
 /** What a stream yields: chunks, then at most one failure. */
-export type EngineItem =
+export type EngineEvent =
   | {readonly kind: 'chunk'; readonly chunk: answerAssembler.Chunk}
   | {readonly kind: 'failed'; readonly failure: EngineFailure};
 
 /** Opens a stream of chunks. */
-export type EngineStream = (
+export type OpenEngineStream = (
   call: EngineCall,
   signal: AbortSignal,
-) => AsyncIterable<EngineItem>;
+) => AsyncIterable<EngineEvent>;
 
 /** Longest silence on a stream, in milliseconds, before it counts as broken. */
-export const DEFAULT_IDLE_MS = 10_000;
+export const DEFAULT_IDLE_TIMEOUT_MS = 10_000;
 
 /** What of a chunk on the wire is read. */
 interface WireChunk {
@@ -120,11 +120,11 @@
 
 const failed = (
   code: EngineFailureCode,
-  ran: Ran,
+  ran: ExecutionStatus,
   message: string,
-): EngineItem => ({kind: 'failed', failure: {code, ran, message}});
+): EngineEvent => ({kind: 'failed', failure: {code, ran, message}});
 
-const codeOf = (error: unknown): string => {
+const errorCodeOf = (error: unknown): string => {
   const failure = error as {
     code?: string;
     data?: {code?: string} | null;
@@ -136,14 +136,14 @@
 /** Failures of a connection that prove that no byte was taken. */
 const NEVER_CONNECTED = /ECONNREFUSED|EHOSTUNREACH|ENETUNREACH/;
 
-const describeBreak = (code: string, signal: AbortSignal): EngineItem => {
+const describeBreak = (code: string, signal: AbortSignal): EngineEvent => {
   if (NEVER_CONNECTED.test(code)) {
     return failed('unreachable', 'not_run', code);
   }
   return failed(signal.aborted ? 'aborted' : 'broken_stream', 'unknown', code);
 };
 
-const describeStatus = (status: number): EngineItem => {
+const describeStatus = (status: number): EngineEvent => {
   switch (status) {
     case 503:
       return failed('cold', 'not_run', 'the engine is in cold start');
@@ -159,7 +159,7 @@
 /** Yields the chunks of an open response; a malformed one ends the stream. */
 async function* readChunks(
   response: http.IncomingMessage,
-): AsyncGenerator<EngineItem> {
+): AsyncGenerator<EngineEvent> {
   let pending: string[] = [];
   const parser = eventsourceParser.createParser({
     onEvent: event => pending.push(event.data),
@@ -216,8 +216,8 @@
 /** Creates a client over kept connections, bounded to `maxSockets` each. */
 export const createEngineClient = (
   maxSockets = 256,
-  idleMs = DEFAULT_IDLE_MS,
-): EngineStream => {
+  idleTimeoutMs = DEFAULT_IDLE_TIMEOUT_MS,
+): OpenEngineStream => {
   const agent = new http.Agent({keepAlive: true, maxSockets});
   return async function* (call, signal) {
     if (signal.aborted) {
@@ -236,7 +236,7 @@
     const request = openRequest(agent, call.address, payload);
     const abort = () => request.destroy(new Error('aborted'));
     signal.addEventListener('abort', abort);
-    request.setTimeout(idleMs, () => request.destroy(new Error('idle')));
+    request.setTimeout(idleTimeoutMs, () => request.destroy(new Error('idle')));
     try {
       const response = await readHead(request);
       if (response.statusCode !== 200) {
@@ -247,7 +247,7 @@
       yield* readChunks(response);
       yield failed('broken_stream', 'ran', 'the stream ended early');
     } catch (error) {
-      const code = codeOf(error);
+      const code = errorCodeOf(error);
       yield describeBreak(code, signal);
     } finally {
       signal.removeEventListener('abort', abort);
--- a/packages/upstreams/src/run-completion.ts
+++ b/packages/upstreams/src/run-completion.ts
@@ -11,7 +11,7 @@
   readonly upstream: string;
   readonly address: string;
   /** Notes the first token, whose latency tells how loaded it is. */
-  readonly noteFirst?: () => void;
+  readonly recordFirstToken?: () => void;
   /** Reports the attempt's end, for load and latency accounting. */
   readonly settle: (outcome: AttemptOutcome) => void;
 }
@@ -20,7 +20,7 @@
 export type AttemptOutcome = 'finished' | 'refused' | 'failed' | 'cancelled';
 
 /** What a run yields: tokens, then one `finished` or `failed`. */
-export type CompletionItem =
+export type CompletionEvent =
   | {readonly kind: 'token'; readonly text: string}
   | {
       readonly kind: 'finished';
@@ -45,8 +45,8 @@
     };
 
 /** What a run needs. */
-export interface CompletionParts {
-  readonly open: engineClient.EngineStream;
+export interface CompletionDependencies {
+  readonly open: engineClient.OpenEngineStream;
   /** Picks an upstream, avoiding those tried; undefined when there is none. */
   readonly place: (tried: readonly string[]) => Placement | undefined;
   /** Takes one retry from the budget; false when there is none left. */
@@ -74,7 +74,7 @@
  * budget; those requests were accepted and are moved, each `MAX_ATTEMPTS`
  * times at most.
  */
-const BUDGETED: readonly engineClient.EngineFailureCode[] = [
+const BUDGETED_FAILURES: readonly engineClient.EngineFailureCode[] = [
   'overloaded',
   'engine_error',
 ];
@@ -85,7 +85,9 @@
   message: 'no upstream may take the request',
 };
 
-const toOutcome = (failure: engineClient.EngineFailure): AttemptOutcome => {
+const attemptOutcomeOf = (
+  failure: engineClient.EngineFailure,
+): AttemptOutcome => {
   if (failure.code === 'aborted') {
     return 'cancelled';
   }
@@ -93,7 +95,10 @@
 };
 
 /** The most that any attempt may have run. */
-const worstOf = (a: engineClient.Ran, b: engineClient.Ran): engineClient.Ran =>
+const mostExecuted = (
+  a: engineClient.ExecutionStatus,
+  b: engineClient.ExecutionStatus,
+): engineClient.ExecutionStatus =>
   a === 'ran' || b === 'ran'
     ? 'ran'
     : a === 'unknown' || b === 'unknown'
@@ -102,31 +107,35 @@
 
 /** Yields the attempt's items; ends with a failure unless it finished. */
 async function* runAttempt(
-  parts: CompletionParts,
+  dependencies: CompletionDependencies,
   request: CompletionRequest,
   placement: Placement,
   assembler: answerAssembler.AnswerAssembler,
   signal: AbortSignal,
-): AsyncGenerator<CompletionItem> {
+): AsyncGenerator<CompletionEvent> {
   const {upstream, address} = placement;
   const call = {...request, address, resumeFrom: assembler.offset};
-  parts.notify({kind: 'started', upstream});
-  for await (const item of parts.open(call, signal)) {
-    if (item.kind === 'failed') {
-      yield item;
+  dependencies.notify({kind: 'started', upstream});
+  for await (const event of dependencies.open(call, signal)) {
+    if (event.kind === 'failed') {
+      yield event;
       return;
     }
-    const verdict = assembler.take(item.chunk);
-    switch (verdict.kind) {
+    const result = assembler.take(event.chunk);
+    switch (result.kind) {
       case 'token':
-        placement.noteFirst?.();
-        yield verdict;
+        placement.recordFirstToken?.();
+        yield result;
         break;
       case 'end':
-        yield {kind: 'finished', end: verdict.end, upstream};
+        yield {kind: 'finished', end: result.end, upstream};
         return;
       case 'discarded':
-        parts.notify({kind: 'discarded', upstream, reason: verdict.reason});
+        dependencies.notify({
+          kind: 'discarded',
+          upstream,
+          reason: result.reason,
+        });
         break;
     }
   }
@@ -134,59 +143,66 @@
 
 /** Runs a completion on upstreams of one version. */
 export async function* runCompletion(
-  parts: CompletionParts,
+  dependencies: CompletionDependencies,
   request: CompletionRequest,
   signal: AbortSignal,
-): AsyncGenerator<CompletionItem> {
+): AsyncGenerator<CompletionEvent> {
   const assembler = new answerAssembler.AnswerAssembler(request.requestId);
   const tried: string[] = [];
-  let ran: engineClient.Ran = 'not_run';
-  let last = NO_UPSTREAM;
+  let ran: engineClient.ExecutionStatus = 'not_run';
+  let lastFailure = NO_UPSTREAM;
   for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
-    const isBudgeted = attempt > 0 && BUDGETED.includes(last.code);
-    if (isBudgeted && !parts.mayRetry()) {
+    const isBudgeted =
+      attempt > 0 && BUDGETED_FAILURES.includes(lastFailure.code);
+    if (isBudgeted && !dependencies.mayRetry()) {
       break;
     }
-    const placement = parts.place(tried);
+    const placement = dependencies.place(tried);
     if (!placement) {
       break;
     }
     tried.push(placement.upstream);
     let failure: engineClient.EngineFailure | undefined;
-    let settled: AttemptOutcome = 'cancelled';
+    let outcome: AttemptOutcome = 'cancelled';
     try {
-      const items = runAttempt(parts, request, placement, assembler, signal);
-      for await (const item of items) {
-        if (item.kind === 'failed') {
-          failure = item.failure;
-          settled = toOutcome(failure);
+      const events = runAttempt(
+        dependencies,
+        request,
+        placement,
+        assembler,
+        signal,
+      );
+      for await (const event of events) {
+        if (event.kind === 'failed') {
+          failure = event.failure;
+          outcome = attemptOutcomeOf(failure);
           break;
         }
-        if (item.kind === 'finished') {
-          settled = 'finished';
-          yield item;
+        if (event.kind === 'finished') {
+          outcome = 'finished';
+          yield event;
           return;
         }
-        yield item;
+        yield event;
       }
     } finally {
-      placement.settle(settled);
+      placement.settle(outcome);
     }
-    last = failure ?? {
+    lastFailure = failure ?? {
       code: 'broken_stream',
       ran: 'unknown',
       message: 'the stream ended early',
     };
-    ran = worstOf(ran, last.ran);
-    parts.notify({
+    ran = mostExecuted(ran, lastFailure.ran);
+    dependencies.notify({
       kind: 'attempt_failed',
       upstream: placement.upstream,
-      failure: last,
+      failure: lastFailure,
       offset: assembler.offset,
     });
-    if (last.code === 'aborted') {
+    if (lastFailure.code === 'aborted') {
       break;
     }
   }
-  yield {kind: 'failed', failure: {...last, ran}};
+  yield {kind: 'failed', failure: {...lastFailure, ran}};
 }
--- a/packages/upstreams/src/service-client.ts
+++ b/packages/upstreams/src/service-client.ts
@@ -24,7 +24,7 @@
 /** A call that gave no whole answer. */
 export interface ServiceFailure {
   readonly code: 'unreachable' | 'overloaded' | 'crossed' | 'broken';
-  readonly ran: engineClient.Ran;
+  readonly ran: engineClient.ExecutionStatus;
   readonly message: string;
 }
 
@@ -60,7 +60,7 @@
   }
 };
 
-const judgeAnswer = (
+const classifyAnswer = (
   call: ServiceCall,
   response: http.IncomingMessage,
   body: Buffer,
@@ -110,7 +110,7 @@
         timeout: timeoutMs,
         maxBytes: MAX_ANSWER_BYTES,
       });
-      return judgeAnswer(call, response, body);
+      return classifyAnswer(call, response, body);
     } catch (error) {
       return purify.Left(describeError(error));
     } finally {
