--- a/packages/amaranthknot/src/entry-instance.ts
+++ b/packages/amaranthknot/src/entry-instance.ts
@@ -77,7 +77,7 @@
     ]);
     get('logger').info('serving', {
       address: this.options.advertise,
-      generation: get('follower').generationInForce(),
+      generation: get('follower').activeGeneration(),
     });
   }
 
--- a/packages/amaranthknot/src/gateway/fleet-report.ts
+++ b/packages/amaranthknot/src/gateway/fleet-report.ts
@@ -44,9 +44,9 @@
       watchers: known ? [] : [...get('watching').findWatchers()],
       groups: keepsGroup ? [...get('members').groupStates(now)] : [],
       groupMembers: keepsGroup
-        ? [...get('members').groupMembersBeyond(known ?? [], now)]
+        ? [...get('members').groupMembersNewerThan(known ?? [], now)]
         : [],
-      views: [...get('relay').report()],
+      views: [...get('relay').states()],
       // An instance that is told by a watcher reports these to it alone.
       upstreams: isLed ? [] : [...this.signsOfReporters()],
       limits: [...get('limits').report()],
@@ -77,12 +77,12 @@
     members.merge(watchers, nowMs);
     if (groups.length === 0) {
       this.peerGroups.delete(from.peers);
-      members.noteCaller(from, nowMs);
+      members.recordCaller(from, nowMs);
       return;
     }
-    members.noteKeeper(from, nowMs);
+    members.recordKeeper(from, nowMs);
     if (!this.isLed()) {
-      members.takeGroups(groups, groupMembers, nowMs);
+      members.mergeGroups(groups, groupMembers, nowMs);
       this.peerGroups.set(from.peers, groups);
     }
   }
@@ -103,7 +103,7 @@
       limits: [...get('limits').report()],
       evidence: [...get('rollouts').evidence('own')],
       rollouts: [...get('rollouts').progress(told.sent)],
-      membersVersion: get('members').toldVersion(name),
+      membersVersion: get('members').watcherListVersion(name),
       pinnedKnown: {...told.known},
     };
   }
@@ -114,10 +114,10 @@
     const now = get('options').clock.now();
     get('limits').merge(report.limits);
     if (report.isWatcher) {
-      get('members').noteKeeper(report.from, now);
+      get('members').recordKeeper(report.from, now);
       return;
     }
-    get('members').noteCaller(report.from, now);
+    get('members').recordCaller(report.from, now);
     get('picker').hear(report.from.id, report.upstreams, 'itself');
     get('rollouts').merge(report.rollouts, report.evidence);
   }
@@ -128,7 +128,7 @@
     const {id} = report.from;
     const now = get('options').clock.now();
     const membersVersion = get('members').listVersion(now);
-    const members = get('members').listStep(report.membersVersion);
+    const members = get('members').listDelta(report.membersVersion);
     return {
       membersVersion,
       ...(members ? {members} : {}),
@@ -152,7 +152,7 @@
       summary;
     const now = get('options').clock.now();
     const name = nameStart(watcher);
-    get('members').takeTold(name, membersVersion, members, now);
+    get('members').applyWatcherList(name, membersVersion, members, now);
     get('picker').hear(WATCHER, upstreams, 'others');
     get('limits').merge(limits);
     get('rollouts').applySums(rollouts, evidence);
@@ -167,7 +167,7 @@
   private isLed(): boolean {
     const {get} = this;
     const now = get('options').clock.now();
-    return get('members').isTold(now) && !get('watching').isWatcher();
+    return get('members').hasWatcherList(now) && !get('watching').isWatcher();
   }
 
   private sessionsToldTo(watcher: string): ToldSessions {
@@ -177,7 +177,7 @@
   }
 
   /** Own signs, and those of instances that report to this one directly. */
-  private signsOfReporters(): readonly protocol.UpstreamSigns[] {
+  private signsOfReporters(): readonly protocol.UpstreamStats[] {
     return this.get('picker').report((_, scope) => scope === 'itself');
   }
 }
--- a/packages/amaranthknot/src/gateway/gateway-instance.ts
+++ b/packages/amaranthknot/src/gateway/gateway-instance.ts
@@ -117,7 +117,7 @@
       acceptsAllUntilMs: startedAt + ALL_TAKEN_MS,
       endsAtMs: end,
     });
-    void get('exchange').tellWatchers();
+    void get('exchange').notifyWatchers();
     const isDone = () =>
       get('gateway').inProgress === 0 &&
       clock.now() - startedAt >= LEAST_STOP_MS;
@@ -185,7 +185,7 @@
     const {settings, clock} = this.options;
     const members = this.get('members');
     const now = clock.now();
-    if (!members.isTold(now) && this.get('watching').isSettling()) {
+    if (!members.hasWatcherList(now) && this.get('watching').isSettling()) {
       return undefined;
     }
     const {zones, bounds} = settings.current;
--- a/packages/amaranthknot/src/gateway/gateway-state.ts
+++ b/packages/amaranthknot/src/gateway/gateway-state.ts
@@ -165,15 +165,14 @@
     return (
       silence === undefined ||
       now() - silence.toMs > LAPSE_GRACE_MS ||
-      views.upstreams.answeredFromMs <=
-        silence.fromMs + fleet.LONGEST_SILENCE_MS
+      views.upstreams.answeredFromMs <= silence.fromMs + fleet.MAX_ANSWER_GAP_MS
     );
   }
 
   private noteConfirmation({confirmedAtMs}: fleet.KindView): void {
     const fromMs = this.upstreamsAsOfMs ?? confirmedAtMs;
     this.upstreamsAsOfMs = confirmedAtMs;
-    if (confirmedAtMs - fromMs <= fleet.LONGEST_SILENCE_MS) {
+    if (confirmedAtMs - fromMs <= fleet.MAX_ANSWER_GAP_MS) {
       return;
     }
     this.silence = {fromMs, toMs: this.options.now()};
--- a/packages/amaranthknot/src/gateway/gateway-tokens.ts
+++ b/packages/amaranthknot/src/gateway/gateway-tokens.ts
@@ -26,7 +26,7 @@
 
 /** Followers of all kinds. */
 export type Followers = Readonly<
-  Record<gatewayState.FollowedKind, fleet.KindFollower>
+  Record<gatewayState.FollowedKind, fleet.KindReflector>
 >;
 
 /** Parts of a running instance, by token. */
@@ -47,7 +47,7 @@
   readonly subscription: fleet.ViewSubscription;
   readonly transport: protocol.HttpTransport;
   readonly members: fleet.MemberTable;
-  readonly refresh: fleet.ViewRefresh;
+  readonly refresh: fleet.ViewRefresher;
   readonly relay: fleet.ViewRelay;
   readonly reports: fleetReport.FleetReports;
   readonly exchange: fleet.ReportExchange;
--- a/packages/amaranthknot/src/gateway/instance-loops.ts
+++ b/packages/amaranthknot/src/gateway/instance-loops.ts
@@ -54,7 +54,7 @@
     const {get} = this;
     const {clock} = get('options');
     const startedAtMs = clock.now();
-    await get('subscription').askFirst(seed);
+    await get('subscription').fetchInitial(seed);
     get('log').belief('seed_asked', {
       seed,
       tookMs: Math.round(clock.now() - startedAtMs),
--- a/packages/amaranthknot/src/gateway/peer-messages.ts
+++ b/packages/amaranthknot/src/gateway/peer-messages.ts
@@ -19,7 +19,7 @@
       reports.take(report);
       return reports.create(report.from.peers);
     },
-    fetch_view: ({kind}) => relay.answer(kind),
+    fetch_view: ({kind}) => relay.handleFetch(kind),
     await_views: call => answerFollower(options, call),
   });
 };
--- a/packages/amaranthknot/src/gateway/repeat-slack.ts
+++ b/packages/amaranthknot/src/gateway/repeat-slack.ts
@@ -10,7 +10,7 @@
 /** Works out the repeats on top of the ratio anew. */
 export const updateRepeatSlack = (get: gatewayTokens.ResolveGateway): void => {
   const {settings, clock} = get('options');
-  const count = get('members').namesForShares(clock.now()).length;
+  const count = get('members').idsForShares(clock.now()).length;
   const {slack} = settings.current.bounds.retry;
   get('repeats').setSlack(Math.max(1, (RETRY_PART * slack) / count));
 };
--- a/packages/amaranthknot/src/gateway/store-watching.ts
+++ b/packages/amaranthknot/src/gateway/store-watching.ts
@@ -140,7 +140,7 @@
     const isFailing = this.failingSinceMs !== undefined;
     const mayRetry =
       view === views.upstreams && now() - this.lastCallMs >= RETRY_MS;
-    return isFailing && !mayRetry && members.isTold(now());
+    return isFailing && !mayRetry && members.hasWatcherList(now());
   }
 
   /**
--- a/packages/amaranthknot/src/gateway/wiring/fleet-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/fleet-factories.ts
@@ -44,15 +44,16 @@
     transport: get('transport').send,
     members: get('members'),
     seeds: () => settings.current.seeds.map(configuration.formatAddress),
-    isTold: () =>
-      get('members').isTold(clock.now()) && !get('watching').isWatcher(),
+    isFollower: () =>
+      get('members').hasWatcherList(clock.now()) &&
+      !get('watching').isWatcher(),
     findWatchers: () => get('watching').findWatchers(),
     createReport: address => get('reports').create(address),
     onFailure: (peer, error) => {
       get('fleetWatch').noteFailure(peer, error);
     },
     onAnswer: (address, report, askedAtMs) => {
-      get('relay').take(address, report.views, askedAtMs);
+      get('relay').mergeStates(address, report.views, askedAtMs);
       get('reports').take(report);
     },
   });
--- a/packages/amaranthknot/src/gateway/wiring/request-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/request-factories.ts
@@ -100,7 +100,7 @@
         {perSecond: service.coldPerSecond, ...settings.current.bounds.cold},
         upstream.id,
         settings.current.instance.id,
-        get('members').namesForShares(clock.now()),
+        get('members').idsForShares(clock.now()),
         clock.now() - startedAtMs,
       ),
   });
@@ -127,7 +127,7 @@
         get('limits').record(upstream, perSecond);
       },
     ),
-    refreshTable: () => get('refresh').run(),
+    refreshTable: () => get('refresh').refresh(),
     activeTable: () => get('state').inForce(),
     onRequestEnd: sample => {
       get('metrics').noteRequest(sample);
@@ -191,7 +191,7 @@
       self: options.settings.current.instance.id,
       findInstances: () =>
         get('members')
-          .report(options.clock.now())
+          .live(options.clock.now())
           .map(({id}) => id),
       onChange: (upstream, perSecond) => {
         get('log').belief('upstream_limited', {upstream, perSecond});
--- a/packages/amaranthknot/src/gateway/wiring/store-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/store-factories.ts
@@ -50,22 +50,22 @@
 const createFollower = (
   get: gatewayTokens.ResolveGateway,
   kind: gatewayState.FollowedKind,
-): fleet.KindFollower => {
+): fleet.KindReflector => {
   const {clock, random} = get('options');
   const view = get('views')[kind];
-  return new fleet.KindFollower({
+  return new fleet.KindReflector({
     view,
     store: get('store'),
     clock,
     random,
-    findWaitMs: ageMs =>
+    findWatchTimeoutMs: ageMs =>
       decisions.findWatchDurationMs(get('watching').boundMs(view.kind), ageMs),
     pauseAfterChangesMs: decisions.findChangePauseMs(
       get('watching').boundMs(view.kind),
     ),
-    findNeed: () => get('watching').findNeed(view),
+    getSyncMode: () => get('watching').findNeed(view),
     onUpdate: get('takeView'),
-    onAsk: asked => {
+    onRelist: asked => {
       get('log').belief('store_asked', {
         kind: asked.kind,
         ageMs: Math.round(clock.now() - asked.confirmedAtMs),
@@ -101,7 +101,7 @@
     transport: get('transport').send,
     views: Object.values(get('views')),
     findSources: () => get('watching').findSources(),
-    freshMs: kind => get('watching').freshMs(kind),
+    staleAfterMs: kind => get('watching').freshMs(kind),
     onUpdate: get('takeView'),
     isWatcher: () => get('watching').isWatcher(),
     onFailure: (peer, error) => {
@@ -111,7 +111,7 @@
     onSummary: (source, summary) => {
       get('reports').takeSummary(source, summary);
     },
-    onSource: source => {
+    onSourceChange: source => {
       get('log').belief('watch_source_changed', {source});
     },
   });
@@ -130,7 +130,7 @@
     evacuations: createFollower(get, 'evacuations'),
   }),
   refresh: get =>
-    new fleet.ViewRefresh({
+    new fleet.ViewRefresher({
       view: get('views').configuration,
       store: get('store'),
       clock: options.clock,
@@ -142,11 +142,11 @@
       transport: get('transport').send,
       views: Object.values(get('views')),
       onUpdate: get('takeView'),
-      freshMs: kind => get('watching').freshMs(kind),
+      staleAfterMs: kind => get('watching').freshMs(kind),
     }),
   takeView: get => view => {
     get('state').take(view);
-    get('relay').noteUpdate();
+    get('relay').wakeWaiters();
   },
   watching: get =>
     new storeWatching.StoreWatching({
--- a/packages/amaranthknot/src/instance-parts.ts
+++ b/packages/amaranthknot/src/instance-parts.ts
@@ -35,10 +35,10 @@
 const createHttp = (url: string, key: string | undefined) =>
   new ports.HttpClient({url, ...(key === undefined ? {} : {key})});
 
-const createPeers = (get: instanceTokens.Resolve): membership.Peers => {
+const createPeers = (get: instanceTokens.Resolve): membership.PeerTable => {
   const {settings, clock} = get('options');
   const {id, zone} = settings.instance;
-  return new membership.Peers({
+  return new membership.PeerTable({
     id,
     zone,
     address: get('options').advertise,
@@ -126,7 +126,8 @@
     sessionKey: crypto.createSecretKey(secrets.sessionKey, 'utf8'),
     operatorDigest: settings.keys.operatorDigest,
     innerKey: secrets.innerKey,
-    inForce: () => (follower.mayTakeWork() ? follower.inForce() : undefined),
+    inForce: () =>
+      follower.mayTakeWork() ? follower.activeConfiguration() : undefined,
     offerAddresses: zone => instanceViews.offerAddresses(get, zone),
     admission: get('admission'),
     cascades: get('cascades'),
@@ -159,8 +160,10 @@
   });
 };
 
-const createDuties = (get: instanceTokens.Resolve): membership.DutyRunner =>
-  new membership.DutyRunner({
+const createDuties = (
+  get: instanceTokens.Resolve,
+): membership.LeasedTaskRunner =>
+  new membership.LeasedTaskRunner({
     store: get('store'),
     clock: get('options').clock,
     random,
--- a/packages/amaranthknot/src/instance-tokens.ts
+++ b/packages/amaranthknot/src/instance-tokens.ts
@@ -15,7 +15,7 @@
   readonly store: ports.ObjectStore;
   readonly instanceList: ports.InstanceList;
   readonly transport: protocol.HttpTransport;
-  readonly peers: membership.Peers;
+  readonly peers: membership.PeerTable;
   readonly follower: membership.ConfigurationFollower;
   readonly events: telemetry.EventRing;
   readonly metrics: telemetry.Metrics;
@@ -32,7 +32,7 @@
   readonly pins: entry.PinRegistry;
   readonly retries: decisions.RetryBudget;
   readonly cascades: decisions.CascadePolicy;
-  readonly duties: membership.DutyRunner;
+  readonly duties: membership.LeasedTaskRunner;
   readonly rolloutCounters: entry.RolloutCounters;
   readonly rolloutShares: entry.RolloutShares;
   /** Undefined where the settings name no rating service. */
--- a/packages/amaranthknot/src/instance-views.ts
+++ b/packages/amaranthknot/src/instance-views.ts
@@ -7,7 +7,7 @@
 export const excludedZones = (
   get: instanceTokens.Resolve,
 ): ReadonlySet<string> => {
-  const zones = get('follower').inForce()?.document.zones ?? [];
+  const zones = get('follower').activeConfiguration()?.document.zones ?? [];
   return new Set(
     zones.filter(zone => zone.state === 'out').map(zone => zone.name),
   );
@@ -36,9 +36,9 @@
   const peers = get('peers');
   return {
     instance: peers.self(),
-    environment: follower.inForce()?.environment,
-    generation: follower.generationInForce(),
-    digest: follower.inForce()?.digest,
+    environment: follower.activeConfiguration()?.environment,
+    generation: follower.activeGeneration(),
+    digest: follower.activeConfiguration()?.digest,
     standing: follower.standing(),
     confirmed_age_ms: follower.confirmedAgeMs(),
     peers: peers.all(),
--- a/packages/amaranthknot/src/operator/wait-everywhere.ts
+++ b/packages/amaranthknot/src/operator/wait-everywhere.ts
@@ -79,7 +79,7 @@
   showProgress(
     `generation ${generation}: waiting for ${instances.length} instances`,
   );
-  const waited = await membership.waitInForce(instances, {
+  const waited = await membership.waitUntilActive(instances, {
     transport: reached.transport,
     clock: reached.clock,
     environment,
--- a/packages/amaranthknot/src/rollout-parts.ts
+++ b/packages/amaranthknot/src/rollout-parts.ts
@@ -20,7 +20,7 @@
 const listRollouts = (
   get: instanceTokens.Resolve,
 ): readonly configuration.Rollout[] =>
-  get('follower').inForce()?.document.rollouts ?? [];
+  get('follower').activeConfiguration()?.document.rollouts ?? [];
 
 const environmentOf = (get: instanceTokens.Resolve): string =>
   get('options').settings.instance.environment;
@@ -150,7 +150,7 @@
   (
     get: instanceTokens.Resolve,
     one: configuration.Rollout,
-  ): membership.DutyWork =>
+  ): membership.LeasedTask =>
   term =>
     entry.driveRollout(
       {
--- a/packages/amaranthknot/tests/gateway/store-outage.test.ts
+++ b/packages/amaranthknot/tests/gateway/store-outage.test.ts
@@ -73,7 +73,7 @@
 
 /** Nothing changed as of now. */
 const confirm = ({state, view, now}: Setup): void => {
-  view.apply({version: 1, events: []}, now());
+  view.applyChanges({version: 1, events: []}, now());
   state.take(view);
 };
 
@@ -97,7 +97,7 @@
     // Entries of upstreams that live lapse while the store is away, and all
     // of them would be dropped at its return.
     const setup = createState();
-    setup.wait(fleet.LONGEST_SILENCE_MS + 100);
+    setup.wait(fleet.MAX_ANSWER_GAP_MS + 100);
     removeEntry(setup);
     chai.expect(setup.catalog.find('i-1')).not.equal(undefined);
     setup.wait(gatewayState.LAPSE_GRACE_MS + 1);
--- a/packages/amaranthknot/tests/gateway/store-watching.test.ts
+++ b/packages/amaranthknot/tests/gateway/store-watching.test.ts
@@ -112,7 +112,7 @@
         change: {...change, leavingMs},
       });
       views.upstreams.replaceAll({objects: [], version: 1}, 2_000);
-      wait(0.8 * fleet.LONGEST_SILENCE_MS);
+      wait(0.8 * fleet.MAX_ANSWER_GAP_MS);
       chai.expect(watching.findNeed(views.upstreams)).not.equal('none');
     });
   }
@@ -125,9 +125,9 @@
     watching.noteStoreCall(FAILED);
     wait(3_000);
     IDS.slice(1).forEach(id => {
-      members.noteKeeper(fixture.createMember(id, id), 5_000);
+      members.recordKeeper(fixture.createMember(id, id), 5_000);
     });
-    members.takeTold('b.1', '1', undefined, 5_000);
+    members.applyWatcherList('b.1', '1', undefined, 5_000);
     chai.expect(watching.findNeed(views.upstreams)).equal('ask');
     watching.noteStoreCall(FAILED);
     chai.expect(watching.findNeed(views.upstreams)).equal('none');
--- a/packages/amaranthknot/tests/rollouts.test.ts
+++ b/packages/amaranthknot/tests/rollouts.test.ts
@@ -47,7 +47,7 @@
 
   const smallInForce = (index: number) =>
     deployment.instances[index]!.parts('follower')
-      .inForce()!
+      .activeConfiguration()!
       .document.models.find(model => model.name === 'small')!;
 
   const isWithdrawnEverywhere = () =>
@@ -81,7 +81,7 @@
   // duty and goes on from the written state, with a higher fencing number.
   it('is resumed by another instance when its driver leaves', async () => {
     const isDriver = (index: number) =>
-      deployment.instances[index]!.parts('duties').held().length > 0;
+      deployment.instances[index]!.parts('duties').heldTasks().length > 0;
     await sendUntil(deployment.addresses, () => hasEvent('rollout_step'));
     const driver = [0, 1, 2].find(isDriver)!;
     const readStored = async () => {
--- a/packages/amaranthknot/tests/versions-and-zones.test.ts
+++ b/packages/amaranthknot/tests/versions-and-zones.test.ts
@@ -55,7 +55,7 @@
     const {generation} = published.unsafeCoerce();
     const isInForce = () =>
       deployment.instances.every(
-        one => one.parts('follower').generationInForce() >= generation,
+        one => one.parts('follower').activeGeneration() >= generation,
       );
     while (!isInForce()) {
       await new Promise(resolve => setTimeout(resolve, 10));
@@ -264,7 +264,7 @@
     const published = await membership.publishDocument(store, 'test', document);
     const {generation} = published.unsafeCoerce();
     const follower = deployment.instances[0]!.parts('follower');
-    while (follower.generationInForce() < generation) {
+    while (follower.activeGeneration() < generation) {
       await new Promise(resolve => setTimeout(resolve, 10));
     }
     chai.expect((await long).json.model).equal('small@v1');
@@ -297,7 +297,7 @@
     const published = await membership.publishDocument(store, 'test', document);
     const {generation} = published.unsafeCoerce();
     const follower = deployment.instances[0]!.parts('follower');
-    while (follower.generationInForce() < generation) {
+    while (follower.activeGeneration() < generation) {
       await new Promise(resolve => setTimeout(resolve, 10));
     }
     chai.expect((await long).status).equal(200);
--- a/packages/bench/src/models/relay-fleet.ts
+++ b/packages/bench/src/models/relay-fleet.ts
@@ -131,7 +131,7 @@
       store: countingStore.countStore(this.store, use),
       instances: {list: () => Promise.resolve(purify.Right(this.listed))},
       transport: transport.send,
-      peers: new membership.Peers({
+      peers: new membership.PeerTable({
         id,
         address,
         zone,
--- a/packages/bench/src/models/virtual-deployment.ts
+++ b/packages/bench/src/models/virtual-deployment.ts
@@ -23,7 +23,7 @@
   readonly id: string;
   readonly address: string;
   readonly follower: membership.ConfigurationFollower;
-  readonly duties: membership.DutyRunner;
+  readonly duties: membership.LeasedTaskRunner;
   readonly claims: ledger.ClaimKeeper;
   readonly bills: ledger.BillKeeper;
   readonly server: protocol.PeerServer;
@@ -166,7 +166,7 @@
     const zone = this.zones[index % this.zones.length] ?? '';
     const {clock, random} = this;
     const store = this.countingStore();
-    const peers = new membership.Peers({
+    const peers = new membership.PeerTable({
       id,
       address,
       zone,
@@ -188,7 +188,7 @@
       id,
       address,
       follower,
-      duties: new membership.DutyRunner({
+      duties: new membership.LeasedTaskRunner({
         store,
         clock,
         random,
--- a/packages/fleet/src/kind-view.ts
+++ b/packages/fleet/src/kind-view.ts
@@ -4,13 +4,13 @@
  */
 import type * as ports from '@amaranthknot/ports';
 import * as murmurhash from 'murmurhash';
-import * as answeredSpan from './answered-span.js';
+import * as storeUptime from './store-uptime.js';
 
 /** Objects of one kind by name. */
 export type ObjectsByName = ReadonlyMap<string, ports.StoredObject>;
 
 /** The step from one state of a view to a later one. */
-export interface ViewStep {
+export interface ViewDelta {
   /** Names of all objects that there are then. */
   readonly names: readonly string[];
   /** Objects that changed on the way. */
@@ -29,7 +29,7 @@
   private completeTo: number | undefined;
   private confirmedAt = -Infinity;
   private knownDigest: string | undefined;
-  private readonly answered = new answeredSpan.AnsweredSpan();
+  private readonly answered = new storeUptime.StoreUptime();
 
   constructor(readonly kind: string) {}
 
@@ -54,8 +54,8 @@
   }
 
   /** Takes in a span in which the store answered a peer. */
-  noteAnswered(span: answeredSpan.TimeSpan): void {
-    this.answered.note(span);
+  recordAnswered(span: storeUptime.TimeSpan): void {
+    this.answered.record(span);
   }
 
   /** Equal in views with the same contents. */
@@ -68,7 +68,7 @@
    * Takes in a peer's word that contents with this digest were complete as of
    * `asOfMs`. Says whether they are this view's own.
    */
-  confirmSame(digest: string, version: number, asOfMs: number): boolean {
+  confirmIfSame(digest: string, version: number, asOfMs: number): boolean {
     if (this.completeTo === undefined || digest !== this.digest) {
       return false;
     }
@@ -96,7 +96,7 @@
   }
 
   /** What a view that is complete up to `version` lacks. */
-  stepFrom(version: number): ViewStep {
+  deltaSince(version: number): ViewDelta {
     const objects = [...this.byName.values()];
     return {
       names: objects.map(({name}) => name),
@@ -108,8 +108,8 @@
    * Takes in the step to a later state. Says whether that state was reached:
    * a peer's history of an object may differ where one of them is behind.
    */
-  applyStep(
-    {names, objects}: ViewStep,
+  applyDelta(
+    {names, objects}: ViewDelta,
     {version, digest}: ViewTarget,
     asOfMs: number,
   ): boolean {
@@ -126,7 +126,7 @@
    * are passed over: a peer or a listing may have brought newer ones while the
    * watch was on its way, and the next watch would not bring them again.
    */
-  apply(changes: ports.StoreChanges, asOfMs: number): void {
+  applyChanges(changes: ports.StoreChanges, asOfMs: number): void {
     const {completeTo = -1} = this;
     for (const event of changes.events) {
       this.applyEvent(event, completeTo);
@@ -152,7 +152,7 @@
 
   private confirm(asOfMs: number): void {
     this.confirmedAt = Math.max(this.confirmedAt, asOfMs);
-    this.answered.note({fromMs: asOfMs, toMs: asOfMs});
+    this.answered.record({fromMs: asOfMs, toMs: asOfMs});
   }
 }
 
--- a/packages/fleet/src/member-groups.ts
+++ b/packages/fleet/src/member-groups.ts
@@ -7,7 +7,7 @@
 import type * as protocol from '@amaranthknot/protocol';
 
 /** What came of news on groups. */
-export interface GroupNews {
+export interface GroupUpdate {
   /** Members of groups whose beat has risen, or that have changed. */
   readonly alive: readonly protocol.Member[];
   /** Instances that a group no longer has. */
@@ -29,7 +29,7 @@
   /** Time without a new beat after which a group counts as gone, in ms. */
   readonly silentMs: number;
   /** Time after which a group that is gone is forgotten, in ms. */
-  readonly forgottenMs: number;
+  readonly retentionMs: number;
 }
 
 /** Groups of other instances. */
@@ -49,7 +49,7 @@
   }
 
   /** Members of the groups that a peer with these states lacks. */
-  membersBeyond(
+  membersNewerThan(
     states: readonly protocol.GroupState[],
     nowMs: number,
   ): readonly protocol.GroupMembers[] {
@@ -69,20 +69,20 @@
   }
 
   /** Takes in what a peer tells of groups. */
-  take(
+  merge(
     states: readonly protocol.GroupState[],
-    contents: readonly protocol.GroupMembers[],
+    updates: readonly protocol.GroupMembers[],
     nowMs: number,
-  ): GroupNews {
+  ): GroupUpdate {
     const risen = new Set<Group>();
     const dropped: string[] = [];
     for (const state of states) {
-      const group = this.takeState(state, nowMs);
+      const group = this.mergeState(state, nowMs);
       if (group) {
         risen.add(group);
       }
     }
-    for (const content of contents) {
+    for (const content of updates) {
       const group = this.groups.get(content.keeper);
       if (group && isLater(content, group)) {
         dropped.push(...findDropped(group.members, content.members));
@@ -97,9 +97,9 @@
   }
 
   /** Forgets groups that have been gone for long. */
-  tick(nowMs: number): void {
+  expire(nowMs: number): void {
     for (const [keeper, {heardAtMs}] of this.groups) {
-      if (nowMs - heardAtMs > this.options.forgottenMs) {
+      if (nowMs - heardAtMs > this.options.retentionMs) {
         this.groups.delete(keeper);
       }
     }
@@ -109,7 +109,7 @@
    * Notes a beat; the group, if it is a new one. A group that is gone stays
    * known by its last beat: peers that have it still would bring it back.
    */
-  private takeState(
+  private mergeState(
     {keeper, start, beat}: protocol.GroupState,
     nowMs: number,
   ): Group | undefined {
--- a/packages/fleet/src/member-list.ts
+++ b/packages/fleet/src/member-list.ts
@@ -50,7 +50,7 @@
   }
 
   /** What one that has `version` lacks; undefined where that is nothing. */
-  stepFrom(version: string): protocol.MemberStep | undefined {
+  deltaSince(version: string): protocol.MemberListDelta | undefined {
     if (version === this.version) {
       return undefined;
     }
--- a/packages/fleet/src/member-table.ts
+++ b/packages/fleet/src/member-table.ts
@@ -20,23 +20,23 @@
  * four of the calls that one makes which is told of the fleet, and less than
  * it may be silent, so that others hear of a loss in the same time.
  */
-const ON_LINE_MS = 2_000;
+const CONNECTED_MS = 2_000;
 
 /**
  * Time for which a silent instance still counts where shares are worked out,
  * in ms. It may be cut off and still send: forgotten at once, the others would
  * take over its share while it uses it.
  */
-const COUNTED_MS = 30_000;
+const SHARE_RETENTION_MS = 30_000;
 
 /** Time after which a silent instance is forgotten, in ms. */
-const FORGOTTEN_MS = 120_000;
+const RETENTION_MS = 120_000;
 
 /**
  * Time for which a watcher's word on who lives counts, in ms: it comes with
  * each answer, several times a second.
  */
-const TOLD_MS = 1_200;
+const WATCHER_LIST_TTL_MS = 1_200;
 
 /**
  * Time for which an instance that did not answer counts as unreachable, unless
@@ -59,8 +59,8 @@
   a.start > b.start || (a.start === b.start && a.revision > b.revision);
 
 /** The list that one instance was told last, and by whom. */
-interface ToldList {
-  readonly by: string;
+interface WatcherList {
+  readonly watcherId: string;
   readonly version: string;
   readonly ids: ReadonlySet<string>;
 }
@@ -69,7 +69,7 @@
  * Time for which the list that a watcher tells is kept, in ms: it is asked for
  * by each of its followers several times a second.
  */
-const LIST_MS = 100;
+const LIST_REFRESH_MS = 100;
 
 /** Version of a list where none was told. */
 const NO_VERSION = 'none';
@@ -79,12 +79,12 @@
   private readonly rows = new Map<string, Row>();
   private readonly groups = new memberGroups.MemberGroups({
     silentMs: SILENT_MS,
-    forgottenMs: FORGOTTEN_MS,
+    retentionMs: RETENTION_MS,
   });
   private readonly list: memberList.MemberList;
-  private told: ToldList | undefined;
+  private watcherList: WatcherList | undefined;
   /** When a watcher last told who lives. */
-  private toldAtMs = -Infinity;
+  private watcherListAtMs = -Infinity;
   /** When the list that this instance tells others was brought up to date. */
   private listedAtMs = -Infinity;
   private beatCount = 0;
@@ -107,17 +107,17 @@
 
   /** Changes what this instance says of itself. */
   setPhase(phase: protocol.Member['phase']): void {
-    this.change({phase});
+    this.updateSelf({phase});
   }
 
   /** Changes what this instance says of its way to the store. */
   setStore(store: protocol.Member['store']): void {
     if (store !== this.selfRow.store) {
-      this.change({store});
+      this.updateSelf({store});
     }
   }
 
-  private change(changed: Partial<protocol.Member>): void {
+  private updateSelf(changed: Partial<protocol.Member>): void {
     const revision = this.selfRow.revision + 1;
     this.selfRow = {...this.selfRow, ...changed, revision};
   }
@@ -130,10 +130,10 @@
    * bring back an instance that is gone.
    */
   merge(members: readonly protocol.Member[], nowMs: number): void {
-    const isTold = this.isTold(nowMs);
+    const hasWatcherList = this.hasWatcherList(nowMs);
     for (const member of members) {
       const row = this.rows.get(member.id);
-      const isNews = isTold
+      const isNews = hasWatcherList
         ? row === undefined || member.start > row.member.start
         : row === undefined || isNewer(member, row.member);
       if (isNews) {
@@ -143,12 +143,12 @@
   }
 
   /** Takes in the row of an instance that keeps a group itself: it lives. */
-  noteKeeper(member: protocol.Member, nowMs: number): void {
+  recordKeeper(member: protocol.Member, nowMs: number): void {
     this.set(member, nowMs);
   }
 
   /** Takes in the row of an instance that calls: it is on the line. */
-  noteCaller(member: protocol.Member, nowMs: number): void {
+  recordCaller(member: protocol.Member, nowMs: number): void {
     this.set(member, nowMs);
     const row = this.rows.get(member.id);
     if (row && member.start >= row.member.start) {
@@ -157,15 +157,15 @@
   }
 
   /** Takes in what a peer tells of groups. */
-  takeGroups(
+  mergeGroups(
     states: readonly protocol.GroupState[],
-    contents: readonly protocol.GroupMembers[],
+    updates: readonly protocol.GroupMembers[],
     nowMs: number,
   ): void {
     const {id} = this.selfRow;
-    const {alive, dropped} = this.groups.take(
+    const {alive, dropped} = this.groups.merge(
       states.filter(({keeper}) => keeper !== id),
-      contents,
+      updates,
       nowMs,
     );
     alive.forEach(member => {
@@ -188,7 +188,7 @@
   }
 
   /** Members of the groups that a peer with these states lacks. */
-  groupMembersBeyond(
+  groupMembersNewerThan(
     states: readonly protocol.GroupState[],
     nowMs: number,
   ): readonly protocol.GroupMembers[] {
@@ -203,61 +203,66 @@
       revision: this.ownRevision,
       members: [...this.ownMembers],
     };
-    const others = this.groups.membersBeyond(states, nowMs);
+    const others = this.groups.membersNewerThan(states, nowMs);
     return isKnown ? others : [own, ...others];
   }
 
   /** Whether a watcher tells this instance who lives. */
-  isTold(nowMs: number): boolean {
-    return nowMs - this.toldAtMs <= TOLD_MS;
+  hasWatcherList(nowMs: number): boolean {
+    return nowMs - this.watcherListAtMs <= WATCHER_LIST_TTL_MS;
   }
 
   /** The list that this instance has from a watcher. */
-  toldVersion(by: string): string {
-    return this.told?.by === by ? this.told.version : NO_VERSION;
+  watcherListVersion(watcherId: string): string {
+    return this.watcherList?.watcherId === watcherId
+      ? this.watcherList.version
+      : NO_VERSION;
   }
 
   /** Takes in a watcher's word on who lives; without a step: as before. */
-  takeTold(
-    by: string,
+  applyWatcherList(
+    watcherId: string,
     version: string,
-    step: protocol.MemberStep | undefined,
+    delta: protocol.MemberListDelta | undefined,
     nowMs: number,
   ): void {
-    if (step) {
-      const before = this.told?.by === by ? this.told.ids : new Set<string>();
-      const ids = new Set(step.isWhole ? [] : before);
-      step.gone.forEach(id => ids.delete(id));
-      step.changed.forEach(member => {
+    if (delta) {
+      const before =
+        this.watcherList?.watcherId === watcherId
+          ? this.watcherList.ids
+          : new Set<string>();
+      const ids = new Set(delta.isWhole ? [] : before);
+      delta.gone.forEach(id => ids.delete(id));
+      delta.changed.forEach(member => {
         ids.add(member.id);
         this.set(member, nowMs);
       });
-      this.silence(
-        [...(this.told?.ids ?? [])].filter(id => !ids.has(id)),
+      this.markSilent(
+        [...(this.watcherList?.ids ?? [])].filter(id => !ids.has(id)),
         nowMs,
       );
-      this.told = {by, version, ids};
+      this.watcherList = {watcherId, version, ids};
     }
-    if (this.told?.version === version) {
-      for (const id of this.told.ids) {
+    if (this.watcherList?.version === version) {
+      for (const id of this.watcherList.ids) {
         this.touch(id, nowMs);
       }
     }
-    this.toldAtMs = nowMs;
+    this.watcherListAtMs = nowMs;
   }
 
   /** Version of the list of live instances that this one tells others. */
   listVersion(nowMs: number): string {
-    if (nowMs - this.listedAtMs >= LIST_MS) {
+    if (nowMs - this.listedAtMs >= LIST_REFRESH_MS) {
       this.listedAtMs = nowMs;
-      this.list.update(this.report(nowMs));
+      this.list.update(this.live(nowMs));
     }
     return this.list.version;
   }
 
   /** What one that has `version` of that list lacks, if anything. */
-  listStep(version: string): protocol.MemberStep | undefined {
-    return this.list.stepFrom(version);
+  listDelta(version: string): protocol.MemberListDelta | undefined {
+    return this.list.deltaSince(version);
   }
 
   /** Notes that an instance lives, with what it says of itself if that is news. */
@@ -291,17 +296,17 @@
 
   /** Instances that no group has any more are gone. */
   private drop(ids: readonly string[], nowMs: number): void {
-    this.silence(
+    this.markSilent(
       ids.filter(id => {
         const row = this.rows.get(id);
-        const isHere = row && isOnLine(row, nowMs);
+        const isHere = row && isConnected(row, nowMs);
         return !isHere && !this.groups.hasMember(id, nowMs);
       }),
       nowMs,
     );
   }
 
-  private silence(ids: readonly string[], nowMs: number): void {
+  private markSilent(ids: readonly string[], nowMs: number): void {
     for (const id of ids) {
       const row = this.rows.get(id);
       if (row) {
@@ -312,7 +317,7 @@
 
   private refreshOwnGroup(nowMs: number): void {
     const callers = [...this.rows.values()]
-      .filter(row => isOnLine(row, nowMs))
+      .filter(row => isConnected(row, nowMs))
       .map(row => row.member);
     const members = [this.selfRow, ...callers];
     const before = this.ownMembers;
@@ -328,7 +333,7 @@
   }
 
   /** Notes that an instance did not answer. */
-  noteUnreachable(id: string, nowMs: number): void {
+  recordUnreachable(id: string, nowMs: number): void {
     const row = this.rows.get(id);
     if (row) {
       row.unreachableUntilMs = nowMs + UNREACHABLE_MS;
@@ -336,7 +341,7 @@
   }
 
   /** Instances that live as far as is known, this one too. */
-  report(nowMs: number): readonly protocol.Member[] {
+  live(nowMs: number): readonly protocol.Member[] {
     return [this.selfRow, ...this.others(nowMs, SILENT_MS)];
   }
 
@@ -363,16 +368,16 @@
   }
 
   /** Instances among which shares are divided, silent ones included. */
-  namesForShares(nowMs: number): readonly string[] {
-    const others = this.others(nowMs, COUNTED_MS).map(({id}) => id);
+  idsForShares(nowMs: number): readonly string[] {
+    const others = this.others(nowMs, SHARE_RETENTION_MS).map(({id}) => id);
     return [this.selfRow.id, ...others];
   }
 
   /** Forgets what has been silent for long. */
-  tick(nowMs: number): void {
-    this.groups.tick(nowMs);
+  expire(nowMs: number): void {
+    this.groups.expire(nowMs);
     for (const [id, row] of this.rows) {
-      if (nowMs - row.heardAtMs > FORGOTTEN_MS) {
+      if (nowMs - row.heardAtMs > RETENTION_MS) {
         this.rows.delete(id);
       }
     }
@@ -395,5 +400,5 @@
   }
 }
 
-const isOnLine = ({calledAtMs}: Row, nowMs: number): boolean =>
-  nowMs - calledAtMs <= ON_LINE_MS;
+const isConnected = ({calledAtMs}: Row, nowMs: number): boolean =>
+  nowMs - calledAtMs <= CONNECTED_MS;
--- a/packages/fleet/src/report-exchange.ts
+++ b/packages/fleet/src/report-exchange.ts
@@ -17,7 +17,7 @@
   readonly transport: protocol.PeerTransport;
   readonly members: memberTable.MemberTable;
   /** Whether a watcher tells this instance of the fleet, and it is none. */
-  readonly isTold: () => boolean;
+  readonly isFollower: () => boolean;
   /** The instances that watch, this one among them if it does. */
   readonly findWatchers: () => readonly protocol.Member[];
   /** `host:port` of peers that the settings name. */
@@ -39,16 +39,16 @@
  * change after about four rounds; what must be known everywhere within two
  * seconds then is, also when one exchange in two fails.
  */
-export const ROUND_MS = 250;
+export const EXCHANGE_INTERVAL_MS = 250;
 
 /** Longest wait for a peer, in milliseconds: some round trips and a pause. */
-const PEER_TIMEOUT_MS = 700;
+const EXCHANGE_TIMEOUT_MS = 700;
 
 /**
  * Rounds between two calls of a seed or of an instance that went silent. Two
  * groups that lost each other find together again this way.
  */
-const SEARCH_ROUNDS = 8;
+const ROUNDS_PER_SEARCH = 8;
 
 /** Exchanges reports until it is told to stop. */
 export class ReportExchange {
@@ -58,20 +58,20 @@
 
   /** Runs until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const {clock, random, members, isTold} = this.options;
+    const {clock, random, members, isFollower} = this.options;
     while (!signal.aborted) {
       members.beat();
-      members.tick(clock.now());
+      members.expire(clock.now());
       this.round++;
-      if (!isTold()) {
+      if (!isFollower()) {
         void this.exchangeOnce();
       }
-      await clock.sleep(ROUND_MS * (0.8 + 0.4 * random()), signal);
+      await clock.sleep(EXCHANGE_INTERVAL_MS * (0.8 + 0.4 * random()), signal);
     }
   }
 
   /** Tells all watchers at once, as when this instance leaves. */
-  async tellWatchers(): Promise<void> {
+  async notifyWatchers(): Promise<void> {
     const {members, findWatchers} = this.options;
     const others = findWatchers().filter(({id}) => id !== members.self.id);
     await Promise.all(others.map(({peers}) => this.exchangeWith(peers)));
@@ -93,7 +93,8 @@
     const searched = [...seeds(), ...lost].filter(
       address => address !== own && !live.includes(address),
     );
-    const mustSearch = live.length === 0 || this.round % SEARCH_ROUNDS === 0;
+    const mustSearch =
+      live.length === 0 || this.round % ROUNDS_PER_SEARCH === 0;
     if (mustSearch && searched.length > 0) {
       return this.draw(searched);
     }
@@ -111,14 +112,14 @@
     const watchers = [...this.options.findWatchers()].sort((a, b) =>
       a.id < b.id ? -1 : 1,
     );
-    const place = watchers.findIndex(watcher => watcher.id === id);
-    if (place < 0) {
+    const index = watchers.findIndex(watcher => watcher.id === id);
+    if (index < 0) {
       return this.draw(watchers.map(({peers}) => peers));
     }
     const count = watchers.length;
     const turns = Math.max(1, Math.ceil(Math.log2(count)));
     const distance = 2 ** (this.round % turns);
-    return count < 2 ? undefined : watchers[(place + distance) % count]?.peers;
+    return count < 2 ? undefined : watchers[(index + distance) % count]?.peers;
   }
 
   private draw(addresses: readonly string[]): string | undefined {
@@ -133,14 +134,14 @@
       address,
       'exchange_reports',
       createReport(address),
-      PEER_TIMEOUT_MS,
+      EXCHANGE_TIMEOUT_MS,
     );
     answer.caseOf({
       Left: error => {
         this.options.onFailure(address, error);
         const peer = this.findByAddress(address);
         if (peer) {
-          members.noteUnreachable(peer.id, clock.now());
+          members.recordUnreachable(peer.id, clock.now());
         }
       },
       Right: report => {
--- a/packages/fleet/src/answered-span.ts
+++ b/packages/fleet/src/store-uptime.ts
@@ -14,10 +14,10 @@
  * which entries lapse, in milliseconds. An entry lapses after three of its
  * heartbeats, 3.6 s and more, of which one may have been missed before.
  */
-export const LONGEST_SILENCE_MS = 2_200;
+export const MAX_ANSWER_GAP_MS = 2_200;
 
 /** The latest span in which no silence was longer than that. */
-export class AnsweredSpan {
+export class StoreUptime {
   private span: TimeSpan | undefined;
 
   /** Start of the span; Infinity before any answer is known of. */
@@ -26,21 +26,21 @@
   }
 
   /** Takes in a span in which the store answered this instance or another. */
-  note(told: TimeSpan): void {
+  record(answered: TimeSpan): void {
     const {span} = this;
     if (!span) {
-      this.span = told;
-    } else if (isJoined(span, told)) {
+      this.span = answered;
+    } else if (isContiguous(span, answered)) {
       this.span = {
-        fromMs: Math.min(span.fromMs, told.fromMs),
-        toMs: Math.max(span.toMs, told.toMs),
+        fromMs: Math.min(span.fromMs, answered.fromMs),
+        toMs: Math.max(span.toMs, answered.toMs),
       };
-    } else if (told.toMs > span.toMs) {
-      this.span = told;
+    } else if (answered.toMs > span.toMs) {
+      this.span = answered;
     }
   }
 }
 
-const isJoined = (a: TimeSpan, b: TimeSpan): boolean =>
-  a.fromMs - b.toMs <= LONGEST_SILENCE_MS &&
-  b.fromMs - a.toMs <= LONGEST_SILENCE_MS;
+const isContiguous = (a: TimeSpan, b: TimeSpan): boolean =>
+  a.fromMs - b.toMs <= MAX_ANSWER_GAP_MS &&
+  b.fromMs - a.toMs <= MAX_ANSWER_GAP_MS;
--- a/packages/fleet/src/view-refresh.ts
+++ b/packages/fleet/src/view-refresher.ts
@@ -3,7 +3,7 @@
 import type * as kindView from './kind-view.js';
 
 /** Parts that a refresh works with. */
-export interface ViewRefreshOptions {
+export interface ViewRefresherOptions {
   readonly view: kindView.KindView;
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
@@ -14,13 +14,13 @@
  * Longest time that a request is held for a refresh, in milliseconds. The
  * store answers in some ten; one that does not is away.
  */
-const HOLD_MS = 250;
+const MAX_HOLD_MS = 250;
 
 /**
  * Least time between two refreshes, in milliseconds: cut off, an instance
  * would hold every request and ask for each.
  */
-const PAUSE_MS = 1_000;
+const MIN_INTERVAL_MS = 1_000;
 
 /**
  * Refreshes one view, one call at a time.
@@ -29,23 +29,23 @@
  * the instance knows then looks old until the next watch ends, a second on,
  * while the store would confirm it in milliseconds.
  */
-export class ViewRefresh {
+export class ViewRefresher {
   private running: Promise<void> | undefined;
-  private lastMs = -Infinity;
+  private lastStartedAtMs = -Infinity;
 
-  constructor(private readonly options: ViewRefreshOptions) {}
+  constructor(private readonly options: ViewRefresherOptions) {}
 
   /** Resolves when the view was refreshed, or can't be for now. */
-  run(): Promise<void> {
+  refresh(): Promise<void> {
     const {clock} = this.options;
     if (this.running) {
       return this.running;
     }
-    if (clock.now() - this.lastMs < PAUSE_MS) {
+    if (clock.now() - this.lastStartedAtMs < MIN_INTERVAL_MS) {
       return Promise.resolve();
     }
-    this.lastMs = clock.now();
-    const held = Promise.race([this.list(), clock.sleep(HOLD_MS)]);
+    this.lastStartedAtMs = clock.now();
+    const held = Promise.race([this.list(), clock.sleep(MAX_HOLD_MS)]);
     this.running = held.then(() => {
       this.running = undefined;
     });
--- a/packages/fleet/src/view-relay.ts
+++ b/packages/fleet/src/view-relay.ts
@@ -15,14 +15,14 @@
   /** Called after a view was confirmed or replaced. */
   readonly onUpdate: (view: kindView.KindView) => void;
   /** Age, in ms, from which a view of a kind is fetched from any peer. */
-  readonly freshMs: (kind: string) => number;
+  readonly staleAfterMs: (kind: string) => number;
 }
 
 /** Longest wait for a peer, in milliseconds; views may be some 100 KB. */
 const FETCH_TIMEOUT_MS = 1_000;
 
 /** Longest time for which a peer's call is held, in milliseconds. */
-const LONGEST_HOLD_MS = 2_000;
+const MAX_HOLD_MS = 2_000;
 
 /** Reason for which a wait ends; without one, an error is made for each. */
 const WOKEN = 'woken';
@@ -34,7 +34,7 @@
   version,
   value,
   status,
-}: ports.StoredObject): protocol.ViewStep['objects'][number] => ({
+}: ports.StoredObject): protocol.ViewDelta['objects'][number] => ({
   name,
   version,
   value,
@@ -50,7 +50,7 @@
   constructor(private readonly options: ViewRelayOptions) {}
 
   /** What this instance tells of its views. */
-  report(): readonly protocol.ViewState[] {
+  states(): readonly protocol.ViewState[] {
     const now = this.options.clock.now();
     return this.options.views.flatMap(view =>
       view.version === undefined
@@ -77,7 +77,7 @@
    *     answer may have been held up on its way, but not made earlier. What
    *     peers send unasked confirms nothing for that reason.
    */
-  take(
+  mergeStates(
     address: string,
     states: readonly protocol.ViewState[],
     askedAtMs: number,
@@ -88,11 +88,11 @@
         continue;
       }
       const asOfMs = askedAtMs - state.ageMs;
-      view.noteAnswered({fromMs: asOfMs - state.answeredForMs, toMs: asOfMs});
+      view.recordAnswered({fromMs: asOfMs - state.answeredForMs, toMs: asOfMs});
       if (asOfMs <= view.confirmedAtMs) {
         continue;
       }
-      if (view.confirmSame(state.digest, state.version, asOfMs)) {
+      if (view.confirmIfSame(state.digest, state.version, asOfMs)) {
         this.options.onUpdate(view);
       } else if (this.mustFetch(view, state.version)) {
         void this.fetch(address, view);
@@ -102,13 +102,13 @@
 
   /** A fresh view is brought up to date by its watcher, in small steps. */
   private mustFetch(view: kindView.KindView, version: number): boolean {
-    const {clock, freshMs} = this.options;
-    const isOld = clock.now() - view.confirmedAtMs > freshMs(view.kind);
+    const {clock, staleAfterMs} = this.options;
+    const isOld = clock.now() - view.confirmedAtMs > staleAfterMs(view.kind);
     return isOld && version > (view.version ?? -1);
   }
 
   /** All objects of a view, for a peer that asks. */
-  answer(kind: string): protocol.Result<'fetch_view'> {
+  handleFetch(kind: string): protocol.Result<'fetch_view'> {
     const view = this.options.views.find(found => found.kind === kind);
     if (view?.version === undefined) {
       return {};
@@ -119,7 +119,7 @@
   }
 
   /** Wakes peers that wait for a change. */
-  noteUpdate(): void {
+  wakeWaiters(): void {
     const {waiters} = this;
     this.waiters = [];
     waiters.forEach(wake => {
@@ -134,13 +134,13 @@
   }: protocol.Params<'await_views'>): Promise<protocol.Result<'await_views'>> {
     const {clock} = this.options;
     const startedAtMs = clock.now();
-    const endMs = startedAtMs + Math.min(waitMs, LONGEST_HOLD_MS);
+    const endMs = startedAtMs + Math.min(waitMs, MAX_HOLD_MS);
     while (!this.hasNews(known) && clock.now() < endMs) {
       await this.waitForUpdate(endMs - clock.now());
     }
-    const views = this.report().map(state => ({
+    const views = this.states().map(state => ({
       ...state,
-      ...this.findStep(state, known),
+      ...this.findDelta(state, known),
     }));
     return {
       heldMs: clock.now() - startedAtMs,
@@ -156,17 +156,17 @@
     });
   }
 
-  private findStep(
+  private findDelta(
     {kind, version, digest}: protocol.ViewState,
     known: readonly KnownView[],
-  ): {readonly step?: protocol.ViewStep} {
+  ): {readonly step?: protocol.ViewDelta} {
     const view = this.options.views.find(found => found.kind === kind);
     const theirs = known.find(found => found.kind === kind);
     const isSame = theirs?.digest === digest;
     if (!view || isSame || (theirs && theirs.version >= version)) {
       return {};
     }
-    const {names, objects} = view.stepFrom(theirs?.version ?? -1);
+    const {names, objects} = view.deltaSince(theirs?.version ?? -1);
     return {step: {names: [...names], objects: objects.map(toMessage)}};
   }
 
--- a/packages/fleet/src/view-subscription.ts
+++ b/packages/fleet/src/view-subscription.ts
@@ -11,7 +11,7 @@
   /** Instances to ask, best first; none while this instance needs none. */
   readonly findSources: () => readonly protocol.Member[];
   /** Longest age, in ms, of what a source that is of use knows. */
-  readonly freshMs: (kind: string) => number;
+  readonly staleAfterMs: (kind: string) => number;
   /** Called after a view was confirmed or replaced. */
   readonly onUpdate: (view: kindView.KindView) => void;
   /** Whether this instance tells others what it is told. */
@@ -26,7 +26,7 @@
   /** Called when a source gave no answer that is of use. */
   readonly onFailure: (address: string, error: protocol.PeerError) => void;
   /** Called when another source is asked, or none any more. */
-  readonly onSource: (id: string | undefined) => void;
+  readonly onSourceChange: (id: string | undefined) => void;
 }
 
 /**
@@ -34,19 +34,19 @@
  * tells how fresh the source is; much less than a change may take. One that
  * tells others itself asks more often: what it knows grows older on the way.
  */
-const HOLD_MS = {follower: 400, watcher: 150} as const;
+const MAX_HOLD_MS = {follower: 400, watcher: 150} as const;
 
 /**
  * Longest wait for an answer beyond that, in milliseconds: a pause of the
  * source's program, and a lost packet that is sent again.
  */
-const ANSWER_MS = 500;
+const ANSWER_MARGIN_MS = 500;
 
 /**
  * Longest wait for a peer's views at the start, in milliseconds. The store
  * would answer in some ten; callers wait meanwhile.
  */
-const FIRST_ANSWER_MS = 120;
+const FIRST_ANSWER_TIMEOUT_MS = 120;
 
 /** Pause while there is no source, in milliseconds. */
 const IDLE_MS = 100;
@@ -55,7 +55,7 @@
  * How long a source that was of no use is passed over, in milliseconds: about
  * as long as it takes others to hear that it is gone.
  */
-const AVOID_MS = 3_000;
+const AVOIDANCE_MS = 3_000;
 
 type Answer = protocol.Result<'await_views'>;
 
@@ -72,12 +72,12 @@
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const source = this.chooseSource();
-      this.noteSource(source?.id);
+      this.changeSource(source?.id);
       if (!source) {
         await this.options.clock.sleep(IDLE_MS, signal);
         continue;
       }
-      await this.ask(source, signal);
+      await this.poll(source, signal);
     }
   }
 
@@ -89,7 +89,7 @@
    * all peers know it: where a fleet of hundreds is restarted in turn, that is
    * most of its calls.
    */
-  async askFirst(address: string): Promise<void> {
+  async fetchInitial(address: string): Promise<void> {
     const {clock, transport} = this.options;
     const askedAtMs = clock.now();
     const answer = await protocol.callPeer(
@@ -97,10 +97,10 @@
       address,
       'await_views',
       {known: [], waitMs: 0},
-      FIRST_ANSWER_MS,
+      FIRST_ANSWER_TIMEOUT_MS,
     );
     answer.ifRight(({heldMs, views}) => {
-      this.takeViews(views, askedAtMs + heldMs);
+      this.applyViews(views, askedAtMs + heldMs);
     });
   }
 
@@ -116,14 +116,14 @@
     return sources.find(source => !isAvoided(source)) ?? sources[0];
   }
 
-  private noteSource(id: string | undefined): void {
+  private changeSource(id: string | undefined): void {
     if (id !== this.sourceId) {
       this.sourceId = id;
-      this.options.onSource(id);
+      this.options.onSourceChange(id);
     }
   }
 
-  private async ask(
+  private async poll(
     source: protocol.Member,
     signal: AbortSignal,
   ): Promise<void> {
@@ -134,13 +134,14 @@
         ? []
         : [{kind, version, digest}],
     );
-    const waitMs = HOLD_MS[this.options.isWatcher() ? 'watcher' : 'follower'];
+    const waitMs =
+      MAX_HOLD_MS[this.options.isWatcher() ? 'watcher' : 'follower'];
     const answer = await protocol.callPeer(
       transport,
       source.peers,
       'await_views',
       {known, waitMs, report: this.options.createReport(source)},
-      waitMs + ANSWER_MS,
+      waitMs + ANSWER_MARGIN_MS,
     );
     if (answer.isLeft()) {
       this.options.onFailure(source.peers, answer.extract());
@@ -148,7 +149,7 @@
       await clock.sleep(IDLE_MS, signal);
       return;
     }
-    this.take(source, answer.unsafeCoerce(), askedAtMs);
+    this.applyAnswer(source, answer.unsafeCoerce(), askedAtMs);
     if (this.wanted.size > 0) {
       // Such an answer comes at once; a source that is behind gives it again.
       await clock.sleep(IDLE_MS, signal);
@@ -159,38 +160,38 @@
    * Ages count from when the source read its views, which was no earlier than
    * the call and the time for which it was held.
    */
-  private take(
+  private applyAnswer(
     source: protocol.Member,
     {heldMs, views, summary}: Answer,
     askedAtMs: number,
   ): void {
-    const {freshMs, onSummary} = this.options;
+    const {staleAfterMs, onSummary} = this.options;
     if (summary) {
       onSummary(source, summary);
     }
-    this.takeViews(views, askedAtMs + heldMs);
-    if (views.some(({kind, ageMs}) => ageMs > freshMs(kind))) {
+    this.applyViews(views, askedAtMs + heldMs);
+    if (views.some(({kind, ageMs}) => ageMs > staleAfterMs(kind))) {
       // It has lost the store itself; another one may not have.
       this.avoid(source);
     }
   }
 
-  private takeViews(views: Answer['views'], readAtMs: number): void {
+  private applyViews(views: Answer['views'], readAtMs: number): void {
     for (const state of views) {
-      this.takeView(state, readAtMs - state.ageMs);
+      this.applyView(state, readAtMs - state.ageMs);
     }
   }
 
-  private takeView(state: Answer['views'][number], asOfMs: number): void {
+  private applyView(state: Answer['views'][number], asOfMs: number): void {
     const {views, onUpdate} = this.options;
     const {kind, version, digest, step, answeredForMs} = state;
     const view = views.find(found => found.kind === kind);
     if (!view) {
       return;
     }
-    view.noteAnswered({fromMs: asOfMs - answeredForMs, toMs: asOfMs});
-    const isTaken = step
-      ? view.applyStep(
+    view.recordAnswered({fromMs: asOfMs - answeredForMs, toMs: asOfMs});
+    const isApplied = step
+      ? view.applyDelta(
           {
             names: step.names,
             objects: step.objects.map(object => ({kind, ...object})),
@@ -198,8 +199,8 @@
           {version, digest},
           asOfMs,
         )
-      : view.confirmSame(digest, version, asOfMs);
-    if (isTaken) {
+      : view.confirmIfSame(digest, version, asOfMs);
+    if (isApplied) {
       this.wanted.delete(kind);
       onUpdate(view);
     } else if (step) {
@@ -208,6 +209,6 @@
   }
 
   private avoid({id}: protocol.Member): void {
-    this.avoidedUntilMs.set(id, this.options.clock.now() + AVOID_MS);
+    this.avoidedUntilMs.set(id, this.options.clock.now() + AVOIDANCE_MS);
   }
 }
--- a/packages/fleet/tests/kind-follower.test.ts
+++ b/packages/fleet/tests/kind-reflector.test.ts
@@ -19,16 +19,16 @@
   const view = new fleet.KindView('k');
   const ending = new AbortController();
   let calls = 0;
-  const follower = new fleet.KindFollower({
+  const follower = new fleet.KindReflector({
     view,
     store,
     clock,
     random: () => 0.5,
-    findWaitMs: () => 1_000,
+    findWatchTimeoutMs: () => 1_000,
     pauseAfterChangesMs: PAUSE_MS,
-    findNeed: () => 'watch',
+    getSyncMode: () => 'watch',
     onUpdate: () => undefined,
-    onAsk: () => undefined,
+    onRelist: () => undefined,
     onCall: () => {
       calls++;
     },
--- a/packages/fleet/tests/kind-view.test.ts
+++ b/packages/fleet/tests/kind-view.test.ts
@@ -22,7 +22,7 @@
 describe('view of a kind', () => {
   it('takes changes in', () => {
     const view = viewOf([objectOf('a', 1), objectOf('b', 2)], 2);
-    view.apply(
+    view.applyChanges(
       {
         version: 5,
         events: [
@@ -54,7 +54,7 @@
     // Guards against an upstream that had left being used again, for good.
     const view = viewOf([objectOf('a', 3), objectOf('b', 1)], 3);
     view.replaceAll({objects: [objectOf('a', 7)], version: 8}, 50);
-    view.apply(
+    view.applyChanges(
       {
         version: 5,
         events: [
@@ -71,7 +71,7 @@
 
   it('takes in a removal that bears the version of the last change', () => {
     const view = viewOf([objectOf('a', 3)], 8);
-    view.apply(
+    view.applyChanges(
       {version: 9, events: [{type: 'delete', object: objectOf('a', 3)}]},
       60,
     );
@@ -82,16 +82,16 @@
     const view = viewOf([objectOf('a', 1)], 1, 0);
     const same = viewOf([objectOf('a', 1)], 9, 0);
     const other = viewOf([objectOf('a', 2)], 2, 0);
-    chai.expect(view.confirmSame(other.digest, 2, 500)).equal(false);
+    chai.expect(view.confirmIfSame(other.digest, 2, 500)).equal(false);
     chai.expect(view.confirmedAtMs).equal(0);
-    chai.expect(view.confirmSame(same.digest, 9, 500)).equal(true);
+    chai.expect(view.confirmIfSame(same.digest, 9, 500)).equal(true);
     chai.expect(view.confirmedAtMs).equal(500);
     chai.expect(view.version).equal(9);
   });
 
   it('never grows older', () => {
     const view = viewOf([], 1, 100);
-    view.confirmSame(view.digest, 1, 40);
+    view.confirmIfSame(view.digest, 1, 40);
     chai.expect(view.confirmedAtMs).equal(100);
   });
 });
--- a/packages/fleet/tests/member-table.test.ts
+++ b/packages/fleet/tests/member-table.test.ts
@@ -50,7 +50,7 @@
   it('no longer names one that refuses connections, until it is back', () => {
     const table = createTable();
     table.merge([memberOf('a', {revision: 5})], 0);
-    table.noteUnreachable('a', 0);
+    table.recordUnreachable('a', 0);
     chai.expect(namesOf(table.serving(1))).eql(['self']);
     table.merge([memberOf('a', {start: 2, revision: 0})], 2);
     chai.expect(namesOf(table.serving(2))).eql(['a', 'self']);
@@ -70,7 +70,7 @@
     table.merge([memberOf('a')], 0);
     const later = fleet.SILENT_MS * 2;
     chai.expect(table.peers(later)).empty;
-    chai.expect(table.namesForShares(later)).eql(['self', 'a']);
+    chai.expect(table.idsForShares(later)).eql(['self', 'a']);
   });
 
   it('does not believe others about itself', () => {
@@ -79,7 +79,7 @@
     chai.expect(table.self.phase).equal('serving');
   });
 
-  const wholeList = (...ids: readonly string[]): protocol.MemberStep => ({
+  const wholeList = (...ids: readonly string[]): protocol.MemberListDelta => ({
     isWhole: true,
     changed: ids.map(id => memberOf(id)),
     gone: [],
@@ -88,19 +88,19 @@
   /** A table that a watcher has told of two others. */
   const createTold = (): fleet.MemberTable => {
     const table = createTable();
-    table.takeTold('w', 'v1', wholeList('w', 'a'), 0);
+    table.applyWatcherList('w', 'v1', wholeList('w', 'a'), 0);
     return table;
   };
 
   it('keeps instances that a watcher goes on naming, without a word of them', () => {
     const table = createTold();
     for (let nowMs = 0; nowMs <= 2 * fleet.SILENT_MS; nowMs += 400) {
-      table.takeTold('w', 'v1', undefined, nowMs);
+      table.applyWatcherList('w', 'v1', undefined, nowMs);
     }
     const nowMs = 2 * fleet.SILENT_MS;
     chai.expect(namesOf(table.serving(nowMs))).eql(['a', 'self', 'w']);
-    chai.expect(table.toldVersion('w')).equal('v1');
-    chai.expect(table.toldVersion('x')).not.equal('v1');
+    chai.expect(table.watcherListVersion('w')).equal('v1');
+    chai.expect(table.watcherListVersion('x')).not.equal('v1');
   });
 
   it('is not misled by old rows while a watcher tells who lives', () => {
@@ -108,7 +108,7 @@
     // told as well passes on a row that is a little newer than the one known
     // here, and callers were sent to the dead instance again.
     const table = createTold();
-    table.takeTold('w', 'v2', wholeList('w'), 100);
+    table.applyWatcherList('w', 'v2', wholeList('w'), 100);
     table.merge([memberOf('a', {revision: 7})], 200);
     chai.expect(namesOf(table.serving(200))).eql(['self', 'w']);
     table.merge([memberOf('a', {start: 2, revision: 0})], 300);
@@ -119,7 +119,7 @@
     const table = createTable();
     table.merge([memberOf('a')], 0);
     const version = table.listVersion(0);
-    table.noteCaller(memberOf('a'), 100);
+    table.recordCaller(memberOf('a'), 100);
     chai.expect(table.listVersion(100)).equal(version);
     table.merge([memberOf('a', {revision: 3, phase: 'leaving'})], 200);
     chai.expect(table.listVersion(200)).not.equal(version);
@@ -132,13 +132,13 @@
     const told = new fleet.MemberTable(memberOf('told'));
     const tell = (nowMs: number) => {
       const version = teller.listVersion(nowMs);
-      const step = teller.listStep(told.toldVersion('self'));
-      told.takeTold('self', version, step, nowMs);
+      const step = teller.listDelta(told.watcherListVersion('self'));
+      told.applyWatcherList('self', version, step, nowMs);
       return step;
     };
     teller.merge([memberOf('a'), memberOf('b')], 0);
     chai.expect(tell(0)?.isWhole).equal(true);
-    teller.noteCaller(memberOf('b'), 2_000);
+    teller.recordCaller(memberOf('b'), 2_000);
     teller.merge([memberOf('c')], 2_000);
     const nowMs = fleet.SILENT_MS + 1;
     const step = tell(nowMs);
@@ -153,10 +153,10 @@
     // One answer that came late kept an instance out of the directory for as
     // long as a watcher told of it, since no beat of it was heard.
     const table = createTold();
-    table.noteUnreachable('a', 0);
+    table.recordUnreachable('a', 0);
     chai.expect(namesOf(table.serving(0))).eql(['self', 'w']);
     for (let nowMs = 0; nowMs <= 4_000; nowMs += 400) {
-      table.takeTold('w', 'v1', undefined, nowMs);
+      table.applyWatcherList('w', 'v1', undefined, nowMs);
     }
     chai.expect(namesOf(table.serving(4_000))).eql(['a', 'self', 'w']);
   });
@@ -165,14 +165,14 @@
   const createWatchers = () => {
     const keeper = new fleet.MemberTable(memberOf('keeper'));
     const other = createTable();
-    keeper.noteCaller(memberOf('a'), 0);
+    keeper.recordCaller(memberOf('a'), 0);
     const tellOther = (nowMs: number) => {
       keeper.beat();
-      const contents = keeper.groupMembersBeyond(
+      const contents = keeper.groupMembersNewerThan(
         other.groupStates(nowMs),
         nowMs,
       );
-      other.takeGroups(keeper.groupStates(nowMs), contents, nowMs);
+      other.mergeGroups(keeper.groupStates(nowMs), contents, nowMs);
       return contents.length;
     };
     return {keeper, other, tellOther};
@@ -182,7 +182,7 @@
     const {keeper, other, tellOther} = createWatchers();
     chai.expect(tellOther(0)).equal(1);
     for (let nowMs = 400; nowMs <= 2 * fleet.SILENT_MS; nowMs += 400) {
-      keeper.noteCaller(memberOf('a'), nowMs);
+      keeper.recordCaller(memberOf('a'), nowMs);
       chai.expect(tellOther(nowMs)).equal(0);
     }
     const lastMs = 2 * fleet.SILENT_MS;
@@ -200,7 +200,7 @@
   it('keeps an instance that has gone over to another group', () => {
     const {other, tellOther} = createWatchers();
     tellOther(0);
-    other.noteCaller(memberOf('a'), 1_000);
+    other.recordCaller(memberOf('a'), 1_000);
     tellOther(2_100);
     chai.expect(namesOf(other.serving(2_100))).eql(['a', 'keeper', 'self']);
   });
@@ -211,9 +211,9 @@
     const {keeper, other, tellOther} = createWatchers();
     tellOther(0);
     const states = keeper.groupStates(0);
-    const contents = keeper.groupMembersBeyond([], 0);
+    const contents = keeper.groupMembersNewerThan([], 0);
     const laterMs = fleet.SILENT_MS + 1;
-    other.takeGroups(states, contents, laterMs);
+    other.mergeGroups(states, contents, laterMs);
     chai.expect(namesOf(other.serving(laterMs))).eql(['self']);
   });
 });
--- a/packages/fleet/tests/answered-span.test.ts
+++ b/packages/fleet/tests/store-uptime.test.ts
@@ -8,7 +8,7 @@
 
 describe('span in which the store answered', () => {
   it('is not known before an answer', () => {
-    chai.expect(new fleet.AnsweredSpan().fromMs).equal(Infinity);
+    chai.expect(new fleet.StoreUptime().fromMs).equal(Infinity);
   });
 
   const cases: readonly {
@@ -40,9 +40,9 @@
 
   cases.forEach(({what, told, fromMs}) => {
     it(what, () => {
-      const span = new fleet.AnsweredSpan();
+      const span = new fleet.StoreUptime();
       told.forEach(one => {
-        span.note(one);
+        span.record(one);
       });
       chai.expect(span.fromMs).equal(fromMs);
     });
--- a/packages/fleet/tests/view-relay.test.ts
+++ b/packages/fleet/tests/view-relay.test.ts
@@ -19,7 +19,7 @@
     transport,
     views: [view],
     onUpdate: () => undefined,
-    freshMs: () => 0,
+    staleAfterMs: () => 0,
   });
   return {view, relay};
 };
@@ -32,7 +32,7 @@
     Promise.resolve(purify.Left({code: 'not_sent', message: 'no way'}));
   const other = createInstance(clock, none);
   const server = protocol.createPeerServer({
-    fetch_view: ({kind}) => other.relay.answer(kind),
+    fetch_view: ({kind}) => other.relay.handleFetch(kind),
   });
   const cut = createInstance(clock, async (_address, text) =>
     purify.Right(await server.handle(text)),
@@ -53,7 +53,7 @@
     const {cut, other} = createPair(clock);
     other.view.replaceAll({objects: [objectOf('a', 3)], version: 4}, 0);
     await clock.advance(100);
-    cut.relay.take('other', other.relay.report(), clock.now());
+    cut.relay.mergeStates('other', other.relay.states(), clock.now());
     await clock.advance(10);
     chai.expect([...cut.view.objects.keys()]).eql(['a']);
     chai.expect(cut.view.confirmedAtMs).equal(0);
@@ -67,7 +67,7 @@
     other.view.replaceAll({objects: [objectOf('a', 3)], version: 4}, 0);
     for (let i = 0; i < 10; i++) {
       await clock.advance(1_000);
-      cut.relay.take('other', other.relay.report(), clock.now());
+      cut.relay.mergeStates('other', other.relay.states(), clock.now());
       await clock.advance(10);
     }
     chai.expect(cut.view.confirmedAtMs).equal(0);
@@ -79,7 +79,7 @@
     cut.view.replaceAll({objects: [objectOf('b', 8)], version: 9}, 0);
     other.view.replaceAll({objects: [objectOf('a', 3)], version: 4}, 50);
     await clock.advance(100);
-    cut.relay.take('other', other.relay.report(), clock.now());
+    cut.relay.mergeStates('other', other.relay.states(), clock.now());
     await clock.advance(10);
     chai.expect([...cut.view.objects.keys()]).eql(['b']);
   });
--- a/packages/fleet/tests/view-subscription.test.ts
+++ b/packages/fleet/tests/view-subscription.test.ts
@@ -36,7 +36,7 @@
       Promise.resolve(purify.Left({code: 'not_sent', message: 'no way'})),
     views: [view],
     onUpdate: () => undefined,
-    freshMs: () => FRESH_MS,
+    staleAfterMs: () => FRESH_MS,
   });
   const address = `${id}:1`;
   const member: protocol.Member = {
@@ -89,12 +89,12 @@
     transport,
     views: [follower],
     findSources: () => sources.map(({member}) => member),
-    freshMs: () => FRESH_MS,
+    staleAfterMs: () => FRESH_MS,
     onUpdate: () => undefined,
     isWatcher: () => false,
     createReport: createFollowerReport,
     onSummary: () => undefined,
-    onSource: () => undefined,
+    onSourceChange: () => undefined,
     onFailure: () => undefined,
   });
   void subscription.run(new AbortController().signal);
@@ -110,11 +110,11 @@
     const source = sources[0]!;
     const objects = [objectOf('a', 1), objectOf('b', 2)];
     source.view.replaceAll({objects, version: 2}, 0);
-    source.relay.noteUpdate();
+    source.relay.wakeWaiters();
     await clock.advance(5);
     chai.expect(namesOf(follower)).eql(['a', 'b']);
     const kept = follower.objects.get('b');
-    source.view.apply(
+    source.view.applyChanges(
       {
         version: 4,
         events: [
@@ -124,7 +124,7 @@
       },
       clock.now(),
     );
-    source.relay.noteUpdate();
+    source.relay.wakeWaiters();
     await clock.advance(5);
     chai.expect(namesOf(follower)).eql(['b', 'c']);
     chai.expect(follower.objects.get('b')).equal(kept);
@@ -137,7 +137,7 @@
     const {clock, sources, follower} = subscribe();
     sources.forEach(({view, relay}) => {
       view.replaceAll({objects: [objectOf('a', 1)], version: 1}, 0);
-      relay.noteUpdate();
+      relay.wakeWaiters();
     });
     await clock.advance(4_000);
     chai.expect(follower.confirmedAtMs).equal(0);
@@ -149,10 +149,10 @@
     const {clock, sources, follower} = subscribe();
     const [lost, well] = sources as [Source, Source];
     lost.view.replaceAll({objects: [objectOf('a', 1)], version: 1}, 0);
-    lost.relay.noteUpdate();
+    lost.relay.wakeWaiters();
     await clock.advance(FRESH_MS + 500);
     well.view.replaceAll({objects: [], version: 2}, clock.now());
-    well.relay.noteUpdate();
+    well.relay.wakeWaiters();
     await clock.advance(100);
     chai.expect(namesOf(follower)).eql([]);
   });
@@ -173,7 +173,7 @@
     follower.replaceAll({objects: [objectOf('a', 2)], version: 2}, 0);
     const objects = [objectOf('a', 1), objectOf('b', 3)];
     source.view.replaceAll({objects, version: 3}, 10);
-    source.relay.noteUpdate();
+    source.relay.wakeWaiters();
     await clock.advance(1_000);
     chai.expect(follower.digest).equal(source.view.digest);
   });
--- a/packages/membership/src/leaving.ts
+++ b/packages/membership/src/announce-leaving.ts
@@ -1,15 +1,15 @@
 /** Tells the fleet that an instance leaves. */
 import * as protocol from '@amaranthknot/protocol';
 import * as configurationRelay from './configuration-relay.js';
-import type * as peersModule from './peers.js';
+import type * as peerTable from './peer-table.js';
 
 /** Peers told at once that this instance leaves; news tells the others. */
-const LEAVE_PEERS = 8;
+const ANNOUNCEMENT_PEERS = 8;
 
 /** Parts that the announcement works with. */
-export interface LeavingOptions {
+export interface AnnounceLeavingOptions {
   readonly transport: protocol.PeerTransport;
-  readonly peers: peersModule.Peers;
+  readonly peers: peerTable.PeerTable;
   readonly random: () => number;
 }
 
@@ -18,16 +18,16 @@
  * with their exchanges. Callers are then no longer sent to it.
  */
 export const announceLeaving = async (
-  options: LeavingOptions,
+  options: AnnounceLeavingOptions,
 ): Promise<void> => {
   const {peers, transport, random} = options;
-  peers.leave();
+  peers.markLeaving();
   const told = peers
     .all()
     .filter(peer => peer.state !== 'dead')
     .map(peer => ({peer, order: random()}))
     .sort((a, b) => a.order - b.order)
-    .slice(0, LEAVE_PEERS);
+    .slice(0, ANNOUNCEMENT_PEERS);
   await Promise.all(
     told.map(({peer}) =>
       protocol.callPeer(
--- a/packages/membership/src/configuration-follower.ts
+++ b/packages/membership/src/configuration-follower.ts
@@ -6,12 +6,12 @@
 import type * as ports from '@amaranthknot/ports';
 import * as protocol from '@amaranthknot/protocol';
 import * as configurationRelay from './configuration-relay.js';
-import type * as configurationStep from './configuration-step.js';
-import * as exchangePace from './exchange-pace.js';
+import type * as configurationUpdate from './configuration-update.js';
+import * as exchangePacer from './exchange-pacer.js';
 import * as headWatcher from './head-watcher.js';
-import * as leaving from './leaving.js';
+import * as leaving from './announce-leaving.js';
 import * as peerDiscovery from './peer-discovery.js';
-import type * as peersModule from './peers.js';
+import type * as peerTable from './peer-table.js';
 
 /**
  * Instances of each zone that watch the platform. Three, so that two may die
@@ -40,7 +40,7 @@
   readonly store: ports.ObjectStore;
   readonly instances: ports.InstanceList;
   readonly transport: protocol.PeerTransport;
-  readonly peers: peersModule.Peers;
+  readonly peers: peerTable.PeerTable;
   readonly clock: ports.Clock;
   readonly random: () => number;
   /** Addresses from the settings, asked while the list is out. */
@@ -53,7 +53,7 @@
 export class ConfigurationFollower {
   private readonly relay: configurationRelay.ConfigurationRelay;
   private readonly stopping = new AbortController();
-  private readonly pace: exchangePace.ExchangePace;
+  private readonly pacer: exchangePacer.ExchangePacer;
   private failures = 0;
   private readonly watcher: headWatcher.HeadWatcher;
   private readonly discovery: peerDiscovery.PeerDiscovery;
@@ -63,7 +63,7 @@
     this.relay = new configurationRelay.ConfigurationRelay({
       ...options,
       onChange: (taken, origin) => {
-        this.pace.hurry();
+        this.pacer.expedite();
         options.onChange?.(taken, origin);
       },
     });
@@ -73,7 +73,7 @@
       signal: this.stopping.signal,
     });
     this.discovery = new peerDiscovery.PeerDiscovery(options);
-    this.pace = new exchangePace.ExchangePace(options.clock, options.random);
+    this.pacer = new exchangePacer.ExchangePacer(options.clock, options.random);
   }
 
   /** Asks peers and the platform once, then keeps following until `stop`. */
@@ -93,7 +93,7 @@
   /** Stops following; the configuration stays as it is. */
   async stop(): Promise<void> {
     this.stopping.abort();
-    this.pace.stop();
+    this.pacer.stop();
     await this.loops;
   }
 
@@ -103,12 +103,12 @@
   }
 
   /** The configuration in force; undefined before the first. */
-  inForce(): configurationStep.ConfigurationInForce | undefined {
-    return this.relay.inForce();
+  activeConfiguration(): configurationUpdate.ActiveConfiguration | undefined {
+    return this.relay.activeConfiguration();
   }
 
   /** The generation in force; 0 before the first. */
-  generationInForce(): number {
+  activeGeneration(): number {
     return this.relay.generation();
   }
 
@@ -119,7 +119,7 @@
 
   /** What this instance knows of its configuration. */
   standing(): protocol.Standing {
-    if (!this.relay.inForce()) {
+    if (!this.relay.activeConfiguration()) {
       return 'starting';
     }
     const {clock, peers} = this.options;
@@ -154,7 +154,7 @@
     });
     const listPeers = () => ({peers: [peers.self(), ...peers.all()]});
     const takeLeaving = ({from}: protocol.Params<'leaving'>) => {
-      peers.hear(from, clock.now());
+      peers.recordContact(from, clock.now());
       return {};
     };
     return {
@@ -199,7 +199,7 @@
     return this.options.clock.sleep(ms, this.stopping.signal);
   }
 
-  private spread(ms: number): number {
+  private jitter(ms: number): number {
     return ms * (0.9 + 0.2 * this.options.random());
   }
 
@@ -208,31 +208,31 @@
       await this.sleep(WATCH_CHECK_MS);
       return;
     }
-    const isAnswered = await this.watcher.next();
+    const isAnswered = await this.watcher.poll();
     if (!isAnswered) {
       // As seldom as a watch that works, and spread: neither an outage nor
       // its end raises the rate of calls.
-      await this.sleep(this.spread(headWatcher.WATCH_MS));
+      await this.sleep(this.jitter(headWatcher.WATCH_TIMEOUT_MS));
     }
   }
 
   private async exchange(): Promise<void> {
     const {peers, clock, random} = this.options;
-    peers.tick(clock.now());
+    peers.expire(clock.now());
     const boundMs = this.relay.boundMs(this.countWatchers());
     const isInDoubt = (this.confirmedAgeMs() ?? Infinity) > boundMs / 2;
     // In doubt there is no time to lose with peers that did not answer lately.
     const peer = isInDoubt ? peers.draw(random, 0) : peers.draw(random);
-    this.pace.begin();
+    this.pacer.begin();
     if (peer) {
       const isAnswered = await this.relay.exchangeWith(peer);
       this.failures = isAnswered ? 0 : this.failures + 1;
     }
-    await this.pace.wait(isInDoubt ? boundMs : undefined);
+    await this.pacer.wait(isInDoubt ? boundMs : undefined);
   }
 
   private async discover(): Promise<void> {
-    await this.sleep(this.spread(this.discovery.intervalMs()));
+    await this.sleep(this.jitter(this.discovery.intervalMs()));
     await this.discovery.refresh();
   }
 
--- a/packages/membership/src/configuration-head.ts
+++ b/packages/membership/src/configuration-head.ts
@@ -15,7 +15,7 @@
 export const SECTION_KIND = 'configuration_section';
 
 /** How one generation differs from the one before. */
-export interface HeadStep {
+export interface HeadDelta {
   readonly generation: number;
   readonly digest: string;
   readonly entries: readonly compareManifests.SectionEntry[];
@@ -29,7 +29,7 @@
   /** Digest of the manifest. */
   readonly digest: string;
   /** Latest steps, oldest first; a watcher behind by few needs no manifest. */
-  readonly steps: readonly HeadStep[];
+  readonly steps: readonly HeadDelta[];
   /** Identities of the latest publications, the newest last. */
   readonly publications: readonly string[];
 }
--- a/packages/membership/src/configuration-publisher.ts
+++ b/packages/membership/src/configuration-publisher.ts
@@ -4,7 +4,7 @@
 import type * as ports from '@amaranthknot/ports';
 import * as purify from 'purify-ts';
 import * as configurationHead from './configuration-head.js';
-import * as headMove from './head-move.js';
+import * as headUpdate from './head-update.js';
 import * as compareManifests from './util/compare-manifests.js';
 
 /**
@@ -12,15 +12,15 @@
  * 1.05 changes/s of the design; two steps cover the ones that come together,
  * and keep the head, which each watcher reads once per change, near 1 KB.
  */
-const STEPS = 2;
+const MAX_STEPS = 2;
 
 /**
  * Identities of publications kept in a head. A publisher whose answer was lost
  * finds its own among them; at 1.05 changes/s for 7 s.
  */
-const PUBLICATIONS = 8;
+const MAX_PUBLICATIONS = 8;
 
-const fail = (error: ports.StoreError): headMove.PublishError => ({
+const toPublishError = (error: ports.StoreError): headUpdate.PublishError => ({
   code: error.code === 'unknown' ? 'unknown' : 'unavailable',
   message: error.message,
 });
@@ -29,7 +29,7 @@
   call: () => Promise<ports.StoreResult<T>>,
 ): Promise<ports.StoreResult<T>> => {
   let result = await call();
-  for (let tries = 1; tries < headMove.TRIES; tries++) {
+  for (let tries = 1; tries < headUpdate.MAX_ATTEMPTS; tries++) {
     const code = result
       .swap()
       .map(error => error.code)
@@ -47,7 +47,7 @@
   store: ports.ObjectStore,
   digest: string,
   value: unknown,
-): Promise<headMove.PublishResult<void>> => {
+): Promise<headUpdate.PublishResult<void>> => {
   const result = await retry(() =>
     store.create(configurationHead.SECTION_KIND, digest, value),
   );
@@ -65,7 +65,7 @@
 const createContents = async (
   store: ports.ObjectStore,
   contents: ReadonlyMap<string, unknown>,
-): Promise<headMove.PublishResult<void>> => {
+): Promise<headUpdate.PublishResult<void>> => {
   for (const [digest, value] of contents) {
     const created = await createContent(store, digest, value);
     if (created.isLeft()) {
@@ -84,10 +84,10 @@
   environment: string,
   expectedGeneration: number | undefined,
 ): Promise<
-  headMove.PublishResult<configurationHead.StoredHead | undefined>
+  headUpdate.PublishResult<configurationHead.StoredHead | undefined>
 > => {
   let generation = 0;
-  for (let tries = 0; tries < headMove.TRIES; tries++) {
+  for (let tries = 0; tries < headUpdate.MAX_ATTEMPTS; tries++) {
     const result = await retry(() =>
       configurationHead.readHead(store, environment),
     );
@@ -106,7 +106,7 @@
       break;
     }
   }
-  return purify.Left(headMove.describeConflict(environment, generation));
+  return purify.Left(headUpdate.describeConflict(environment, generation));
 };
 
 const createHead = (
@@ -120,9 +120,9 @@
   return {
     generation,
     digest,
-    steps: [...(base?.steps ?? []), step].slice(-STEPS),
+    steps: [...(base?.steps ?? []), step].slice(-MAX_STEPS),
     publications: [...(base?.publications ?? []), publication].slice(
-      -PUBLICATIONS,
+      -MAX_PUBLICATIONS,
     ),
   };
 };
@@ -130,14 +130,14 @@
 const readBaseManifest = async (
   store: ports.ObjectStore,
   base: configurationHead.StoredHead | undefined,
-): Promise<headMove.PublishResult<configuration.Manifest>> => {
+): Promise<headUpdate.PublishResult<configuration.Manifest>> => {
   if (!base) {
     return purify.Right(compareManifests.EMPTY_MANIFEST);
   }
   const manifest = await retry(() =>
     configurationHead.readManifest(store, base.head.digest),
   );
-  return manifest.mapLeft(fail);
+  return manifest.mapLeft(toPublishError);
 };
 
 /** Random bytes of an identity, unique among the few that a head keeps. */
@@ -157,7 +157,7 @@
   manifest: configuration.Manifest,
   contents: ReadonlyMap<string, unknown>,
   options: PublishOptions,
-): Promise<headMove.PublishResult<headMove.Publication>> => {
+): Promise<headUpdate.PublishResult<headUpdate.Publication>> => {
   const base = await readBase(store, environment, options.expectedGeneration);
   if (base.isLeft()) {
     return base;
@@ -187,7 +187,7 @@
     options.publication ??
     crypto.randomBytes(IDENTITY_BYTES).toString('base64url');
   const head = createHead(stored?.head, digest, difference, publication);
-  return headMove.moveHead({
+  return headUpdate.updateHead({
     store,
     environment,
     base: stored,
@@ -206,7 +206,7 @@
   document: configuration.Document,
   expectedGeneration?: number,
   publication?: string,
-): Promise<headMove.PublishResult<headMove.Publication>> => {
+): Promise<headUpdate.PublishResult<headUpdate.Publication>> => {
   const split = configuration.splitDocument(document);
   const contents = new Map(
     split.sections.map(({digest, value}) => [digest, value]),
@@ -228,10 +228,10 @@
   to: string,
   digest?: string,
   options: PublishOptions = {},
-): Promise<headMove.PublishResult<headMove.Publication>> => {
+): Promise<headUpdate.PublishResult<headUpdate.Publication>> => {
   const source = await retry(() => configurationHead.readHead(store, from));
   if (source.isLeft()) {
-    return source.mapLeft(fail);
+    return source.mapLeft(toPublishError);
   }
   const head = source.orDefault(undefined)?.head;
   if (!head) {
@@ -241,13 +241,13 @@
     });
   }
   if (digest !== undefined && digest !== head.digest) {
-    return purify.Left(headMove.describeConflict(from, head.generation));
+    return purify.Left(headUpdate.describeConflict(from, head.generation));
   }
   const manifest = await retry(() =>
     configurationHead.readManifest(store, head.digest),
   );
   if (manifest.isLeft()) {
-    return manifest.mapLeft(fail);
+    return manifest.mapLeft(toPublishError);
   }
   return publishManifest(
     store,
--- a/packages/membership/src/configuration-relay.ts
+++ b/packages/membership/src/configuration-relay.ts
@@ -6,9 +6,9 @@
 import * as protocol from '@amaranthknot/protocol';
 import type * as configurationHead from './configuration-head.js';
 import * as configurationSource from './configuration-source.js';
-import * as configurationStep from './configuration-step.js';
+import * as configurationUpdate from './configuration-update.js';
 import * as freshness from './freshness.js';
-import type * as peers from './peers.js';
+import type * as peerTable from './peer-table.js';
 
 /**
  * Time for one message, in milliseconds. Peers answer in a few, those of a far
@@ -21,7 +21,7 @@
  * Sections up to which a step rides on an exchange. Larger ones are fetched,
  * once, so that a slow start does not get them from everyone it talks to.
  */
-const INLINE_SECTIONS = 16;
+const MAX_INLINE_SECTIONS = 16;
 
 /** Rows of news in one message: about 120 bytes each, of 4 KB/s a node. */
 const NEWS_LIMIT = 4;
@@ -34,11 +34,11 @@
   readonly environment: string;
   readonly store: ports.ObjectStore;
   readonly transport: protocol.PeerTransport;
-  readonly peers: peers.Peers;
+  readonly peers: peerTable.PeerTable;
   readonly clock: ports.Clock;
   /** Called each time a higher generation is in force, and only then. */
   readonly onChange: (
-    configuration: configurationStep.ConfigurationInForce,
+    configuration: configurationUpdate.ActiveConfiguration,
     origin: ConfigurationOrigin,
   ) => void;
 }
@@ -46,14 +46,14 @@
 /** Keeps, passes on and takes in the configuration in force. */
 export class ConfigurationRelay {
   readonly freshness = new freshness.Freshness();
-  private current: configurationStep.ConfigurationInForce | undefined;
-  private wantsWhole = false;
+  private current: configurationUpdate.ActiveConfiguration | undefined;
+  private mustFetchWhole = false;
   private isFetching = false;
 
   constructor(private readonly options: ConfigurationRelayOptions) {}
 
   /** The configuration in force; undefined before the first. */
-  inForce(): configurationStep.ConfigurationInForce | undefined {
+  activeConfiguration(): configurationUpdate.ActiveConfiguration | undefined {
     return this.current;
   }
 
@@ -68,13 +68,13 @@
       return head.generation === this.generation();
     }
     const {store, environment} = this.options;
-    const step = await configurationSource.readStep(
+    const update = await configurationSource.readUpdate(
       store,
       environment,
       this.current,
       head,
     );
-    step.ifRight(read => this.take(read, 'platform'));
+    update.ifRight(read => this.adopt(read, 'platform'));
     return this.generation() >= head.generation;
   }
 
@@ -86,15 +86,15 @@
     const now = clock.now();
     // Before it is heard, which clears it: it must learn of rumours against it
     // to refute them everywhere.
-    const news = peers.news(params.from.id, NEWS_LIMIT);
-    peers.hear(params.from, now);
+    const news = peers.selectNews(params.from.id, NEWS_LIMIT);
+    peers.recordContact(params.from, now);
     peers.applyNews(params.news, now);
     const theirs = this.findGeneration(params.generations);
     if (theirs > this.generation()) {
       void this.fetchFrom(params.from.address);
     }
     const change =
-      theirs < this.generation() ? this.describeInline(theirs) : undefined;
+      theirs < this.generation() ? this.createInlineChange(theirs) : undefined;
     const confirmedAgeMs = this.freshness.confirmedAgeMs(now);
     return {
       from: peers.self(),
@@ -118,7 +118,7 @@
       have < this.generation();
     const change =
       isWanted && this.current
-        ? configurationStep.describeChange(have, this.current)
+        ? configurationUpdate.createChange(have, this.current)
         : undefined;
     return change ? {change} : {};
   }
@@ -134,15 +134,15 @@
       {
         from: peers.self(),
         generations: this.generations(),
-        news: peers.news(peer.id, NEWS_LIMIT),
+        news: peers.selectNews(peer.id, NEWS_LIMIT),
       },
       MESSAGE_TIMEOUT_MS,
     );
     if (result.isLeft()) {
-      peers.fail(peer.id, clock.now());
+      peers.recordFailure(peer.id, clock.now());
       return false;
     }
-    await this.takeAnswer(result.unsafeCoerce(), peer.address, sentAt);
+    await this.applyAnswer(result.unsafeCoerce(), peer.address, sentAt);
     return true;
   }
 
@@ -151,20 +151,20 @@
     return freshness.isolationBoundMs(this.options.peers.size(), watchers);
   }
 
-  private async takeAnswer(
+  private async applyAnswer(
     answer: protocol.Result<'exchange_generations'>,
     address: string,
     sentAt: number,
   ): Promise<void> {
     const {clock, peers} = this.options;
-    peers.hear(answer.from, clock.now());
+    peers.recordContact(answer.from, clock.now());
     peers.applyNews(answer.news, clock.now());
-    this.freshness.hear(answer.from.zone, sentAt);
+    this.freshness.recordContact(answer.from.zone, sentAt);
     for (const [zone, age] of Object.entries(answer.zoneAgesMs)) {
-      this.freshness.hear(zone, sentAt - age);
+      this.freshness.recordContact(zone, sentAt - age);
     }
     if (answer.change) {
-      this.takeChange(answer.change);
+      this.applyChange(answer.change);
     }
     const theirs = this.findGeneration(answer.generations);
     if (theirs > this.generation()) {
@@ -183,7 +183,7 @@
       return;
     }
     this.isFetching = true;
-    const have = this.wantsWhole ? 0 : this.generation();
+    const have = this.mustFetchWhole ? 0 : this.generation();
     const result = await protocol.callPeer(
       this.options.transport,
       address,
@@ -197,17 +197,17 @@
     this.isFetching = false;
     result.ifRight(({change}) => {
       if (change) {
-        this.takeChange(change);
+        this.applyChange(change);
       }
     });
   }
 
-  private takeChange(change: protocol.ConfigurationChange): void {
+  private applyChange(change: protocol.ConfigurationChange): void {
     if (change.environment !== this.options.environment) {
       return;
     }
-    const step = configurationStep.readChange(this.current, change);
-    step.ifRight(read => this.take(read, 'peer'));
+    const update = configurationUpdate.parseChange(this.current, change);
+    update.ifRight(read => this.adopt(read, 'peer'));
   }
 
   /**
@@ -215,14 +215,14 @@
    * late, while another source was quicker; `takeStep` lets only a higher
    * generation through, so what is in force never reverts.
    */
-  private take(
-    step: configurationStep.ConfigurationStep,
+  private adopt(
+    update: configurationUpdate.ConfigurationUpdate,
     origin: ConfigurationOrigin,
   ): void {
-    const result = configurationStep.takeStep(this.current, step);
+    const result = configurationUpdate.applyUpdate(this.current, update);
     // A step that does not lead to its digest can not be mended by the next
     // one from the same base: the whole is asked for instead.
-    this.wantsWhole = result.isLeft()
+    this.mustFetchWhole = result.isLeft()
       ? result.swap().unsafeCoerce().code === 'corrupt'
       : false;
     result.ifRight(taken => {
@@ -244,14 +244,14 @@
     );
   }
 
-  private describeInline(
+  private createInlineChange(
     have: number,
   ): protocol.ConfigurationChange | undefined {
     if (!this.current || have < this.current.history.since) {
       return undefined;
     }
-    const change = configurationStep.describeChange(have, this.current);
-    return change.sections.length <= INLINE_SECTIONS ? change : undefined;
+    const change = configurationUpdate.createChange(have, this.current);
+    return change.sections.length <= MAX_INLINE_SECTIONS ? change : undefined;
   }
 
   private zoneAgesMs(now: number): Record<string, number> {
--- a/packages/membership/src/configuration-source.ts
+++ b/packages/membership/src/configuration-source.ts
@@ -2,7 +2,7 @@
 import type * as ports from '@amaranthknot/ports';
 import * as purify from 'purify-ts';
 import * as configurationHead from './configuration-head.js';
-import type * as configurationStep from './configuration-step.js';
+import type * as configurationUpdate from './configuration-update.js';
 import * as sectionHistory from './section-history.js';
 import * as compareManifests from './util/compare-manifests.js';
 
@@ -14,33 +14,33 @@
 const PARALLEL_READS = 8;
 
 /** Steps of the head from what is in force, when they reach back so far. */
-const listSteps = (
-  current: configurationStep.ConfigurationInForce | undefined,
+const listDeltas = (
+  current: configurationUpdate.ActiveConfiguration | undefined,
   head: configurationHead.Head,
-): readonly configurationHead.HeadStep[] | undefined => {
+): readonly configurationHead.HeadDelta[] | undefined => {
   const from = current?.generation ?? 0;
   const steps = head.steps.filter(step => step.generation > from);
   return steps.length === head.generation - from ? steps : undefined;
 };
 
 type Outline = Pick<
-  configurationStep.ConfigurationStep,
+  configurationUpdate.ConfigurationUpdate,
   'manifest' | 'history'
 >;
 
 /** Finds what is in the configuration, by the head alone if possible. */
 const readOutline = async (
   store: ports.ObjectStore,
-  current: configurationStep.ConfigurationInForce | undefined,
+  current: configurationUpdate.ActiveConfiguration | undefined,
   head: configurationHead.Head,
 ): Promise<ports.StoreResult<Outline>> => {
-  const steps = listSteps(current, head);
+  const steps = listDeltas(current, head);
   if (steps) {
     const base = current?.manifest ?? compareManifests.EMPTY_MANIFEST;
     const history = current?.history ?? sectionHistory.EMPTY_HISTORY;
     return purify.Right({
       manifest: steps.reduce(compareManifests.applyDifference, base),
-      history: sectionHistory.followSteps(history, steps),
+      history: sectionHistory.applyHeadDeltas(history, steps),
     });
   }
   const read = await configurationHead.readManifest(store, head.digest);
@@ -76,12 +76,12 @@
 };
 
 /** Reads the step from what is in force to `head`. */
-export const readStep = async (
+export const readUpdate = async (
   store: ports.ObjectStore,
   environment: string,
-  current: configurationStep.ConfigurationInForce | undefined,
+  current: configurationUpdate.ActiveConfiguration | undefined,
   head: configurationHead.Head,
-): Promise<ports.StoreResult<configurationStep.ConfigurationStep>> => {
+): Promise<ports.StoreResult<configurationUpdate.ConfigurationUpdate>> => {
   const outline = await readOutline(store, current, head);
   if (outline.isLeft()) {
     return outline;
--- a/packages/membership/src/configuration-step.ts
+++ b/packages/membership/src/configuration-update.ts
@@ -6,7 +6,7 @@
 import * as compareManifests from './util/compare-manifests.js';
 
 /** A whole, checked configuration. */
-export interface ConfigurationInForce {
+export interface ActiveConfiguration {
   readonly environment: string;
   readonly generation: number;
   readonly digest: string;
@@ -24,18 +24,18 @@
  * - `other_base`: the step starts at a generation that is not in force here.
  * - `corrupt`: a content does not match its digest, or can not be joined.
  */
-export interface StepError {
+export interface UpdateError {
   readonly code: 'not_newer' | 'other_base' | 'corrupt';
   readonly message: string;
 }
 
 const fail = (
-  code: StepError['code'],
+  code: UpdateError['code'],
   message: string,
-): purify.Either<StepError, never> => purify.Left({code, message});
+): purify.Either<UpdateError, never> => purify.Left({code, message});
 
 /** A later configuration, not yet checked. */
-export interface ConfigurationStep {
+export interface ConfigurationUpdate {
   readonly environment: string;
   readonly generation: number;
   readonly digest: string;
@@ -63,18 +63,18 @@
  * taken: a stale answer of the platform, or a peer that lags, shows as the
  * same or a lower number and changes nothing.
  */
-export const takeStep = (
-  current: ConfigurationInForce | undefined,
-  step: ConfigurationStep,
-): purify.Either<StepError, ConfigurationInForce> => {
-  const {environment, generation, digest, manifest, history} = step;
+export const applyUpdate = (
+  current: ActiveConfiguration | undefined,
+  update: ConfigurationUpdate,
+): purify.Either<UpdateError, ActiveConfiguration> => {
+  const {environment, generation, digest, manifest, history} = update;
   if (generation <= (current?.generation ?? 0)) {
     return fail('not_newer', `generation ${generation} is not newer`);
   }
   if (configuration.digestManifest(manifest) !== digest) {
     return fail('corrupt', `the manifest does not match ${digest}`);
   }
-  const sections = pickSections(manifest, current?.sections, step.contents);
+  const sections = pickSections(manifest, current?.sections, update.contents);
   return configuration
     .joinSections(manifest, each => sections.get(each))
     .mapLeft(([error]) => ({
@@ -93,10 +93,10 @@
 };
 
 /** Reads a peer's change as a step from what is in force. */
-export const readChange = (
-  current: ConfigurationInForce | undefined,
+export const parseChange = (
+  current: ActiveConfiguration | undefined,
   change: protocol.ConfigurationChange,
-): purify.Either<StepError, ConfigurationStep> => {
+): purify.Either<UpdateError, ConfigurationUpdate> => {
   const {environment, generation, digest, baseGeneration, since} = change;
   if (baseGeneration !== undefined && baseGeneration !== current?.generation) {
     return fail('other_base', `the step starts at ${baseGeneration}`);
@@ -134,9 +134,9 @@
  * history does not reach back so far. It may name more sections than differ,
  * never fewer: what differs has changed since.
  */
-export const describeChange = (
+export const createChange = (
   have: number,
-  to: ConfigurationInForce,
+  to: ActiveConfiguration,
 ): protocol.ConfigurationChange => {
   const {environment, generation, digest, manifest, sections, history} = to;
   const {changedAt, removedAt, since} = history;
@@ -148,10 +148,10 @@
     digest,
     ...(isPartial ? {baseGeneration: have} : {}),
     since,
-    sections: sectionHistory.listAfter(changedAt, after).map(each => ({
+    sections: sectionHistory.listChangesAfter(changedAt, after).map(each => ({
       ...each,
       content: sections.get(manifest.sections[each.name] ?? ''),
     })),
-    removed: sectionHistory.listAfter(removedAt, after),
+    removed: sectionHistory.listChangesAfter(removedAt, after),
   };
 };
--- a/packages/membership/src/exchange-pace.ts
+++ b/packages/membership/src/exchange-pacer.ts
@@ -3,7 +3,7 @@
 import * as tokenBucket from './util/token-bucket.js';
 
 /** Time between exchanges in milliseconds, spread by a tenth. */
-const EXCHANGE_MS = 1_000;
+const EXCHANGE_INTERVAL_MS = 1_000;
 
 /**
  * Exchanges that may follow each other at once after a change, and their rate
@@ -21,7 +21,7 @@
 const DOUBT_SHARE = 0.12;
 
 /** Paces exchanges: steady, early after a change, dense in doubt. */
-export class ExchangePace {
+export class ExchangePacer {
   private readonly tokens: tokenBucket.TokenBucket;
   private earlyLeft = 0;
   private waking = new AbortController();
@@ -39,7 +39,7 @@
   }
 
   /** A change came into force: peers should hear of it soon. */
-  hurry(): void {
+  expedite(): void {
     this.earlyLeft = EARLY_EXCHANGES - 1;
     this.waking.abort();
   }
@@ -63,7 +63,7 @@
    * that an outage does not stop instances which merely had no luck.
    */
   async wait(boundMs = Infinity): Promise<void> {
-    const usualMs = Math.min(EXCHANGE_MS, boundMs * DOUBT_SHARE);
+    const usualMs = Math.min(EXCHANGE_INTERVAL_MS, boundMs * DOUBT_SHARE);
     const end = this.clock.now() + usualMs * (0.9 + 0.2 * this.random());
     if (this.earlyLeft === 0) {
       await this.clock.sleep(end - this.clock.now(), this.waking.signal);
--- a/packages/membership/src/freshness.ts
+++ b/packages/membership/src/freshness.ts
@@ -40,7 +40,7 @@
   }
 
   /** An instance of `zone` was alive at time `at`. */
-  hear(zone: string, at: number): void {
+  recordContact(zone: string, at: number): void {
     this.heardAt.set(zone, Math.max(this.heardAt.get(zone) ?? at, at));
   }
 
--- a/packages/membership/src/generation-report.ts
+++ b/packages/membership/src/generation-report.ts
@@ -6,10 +6,10 @@
 const PARALLEL_CALLS = 32;
 
 /** Time between rounds of questions, in milliseconds. */
-const ROUND_MS = 250;
+const POLL_INTERVAL_MS = 250;
 
 /** Time for one question, in milliseconds. */
-const CALL_MS = 1_000;
+const CALL_TIMEOUT_MS = 1_000;
 
 /** What one instance said, or why it did not. */
 export interface GenerationReport {
@@ -34,7 +34,7 @@
     address,
     'report_generation',
     {environment},
-    CALL_MS,
+    CALL_TIMEOUT_MS,
   );
   return answer
     .map(({generation = 0, standing}): GenerationReport => ({
@@ -82,16 +82,16 @@
  * Waits until all instances report `generation` or a later one, and says
  * where it is in force and where not when the time is up.
  */
-export const waitInForce = async (
+export const waitUntilActive = async (
   instances: readonly ReportedInstance[],
   options: WaitOptions,
 ): Promise<WaitOutcome> => {
   const {transport, clock, environment, generation, timeoutMs} = options;
   const end = clock.now() + timeoutMs;
   const inForce: GenerationReport[] = [];
-  let open = instances;
+  let pending = instances;
   for (;;) {
-    const reports = await collectGenerations(transport, open, environment);
+    const reports = await collectGenerations(transport, pending, environment);
     const isReached = (report: GenerationReport): boolean =>
       (report.generation ?? 0) >= generation;
     inForce.push(...reports.filter(isReached));
@@ -100,7 +100,7 @@
       return {inForce, missing};
     }
     const ids = new Set(missing.map(report => report.id));
-    open = open.filter(instance => ids.has(instance.id));
-    await clock.sleep(ROUND_MS);
+    pending = pending.filter(instance => ids.has(instance.id));
+    await clock.sleep(POLL_INTERVAL_MS);
   }
 };
--- a/packages/membership/src/head-move.ts
+++ b/packages/membership/src/head-update.ts
@@ -34,7 +34,7 @@
  * milliseconds, so three tries ride over a lost answer or two, while an
  * operator in an outage is told at once instead of adding to the load.
  */
-export const TRIES = 3;
+export const MAX_ATTEMPTS = 3;
 
 /** The error for a publication that another one came before. */
 export const describeConflict = (
@@ -49,7 +49,7 @@
 });
 
 /** One conditional move of a head. */
-export interface Move {
+export interface HeadUpdate {
   readonly store: ports.ObjectStore;
   readonly environment: string;
   readonly base: configurationHead.StoredHead | undefined;
@@ -58,19 +58,19 @@
 }
 
 const writeHead = (
-  move: Move,
+  update: HeadUpdate,
 ): Promise<ports.StoreResult<ports.StoredObject>> =>
-  move.base
-    ? move.store.update(
+  update.base
+    ? update.store.update(
         configurationHead.HEAD_KIND,
-        move.environment,
-        move.head,
-        move.base.version,
+        update.environment,
+        update.head,
+        update.base.version,
       )
-    : move.store.create(
+    : update.store.create(
         configurationHead.HEAD_KIND,
-        move.environment,
-        move.head,
+        update.environment,
+        update.head,
       );
 
 /**
@@ -79,17 +79,20 @@
  * already followed. Undefined while only the old head is seen, which may be a
  * stale answer.
  */
-const settle = async (
-  move: Move,
+const resolveLostWrite = async (
+  update: HeadUpdate,
 ): Promise<PublishResult<boolean> | undefined> => {
-  const read = await configurationHead.readHead(move.store, move.environment);
+  const read = await configurationHead.readHead(
+    update.store,
+    update.environment,
+  );
   const seen = read.orDefault(undefined);
-  if (!seen || seen.version <= (move.base?.version ?? 0)) {
+  if (!seen || seen.version <= (update.base?.version ?? 0)) {
     return undefined;
   }
-  return seen.head.publications.includes(move.publication)
+  return seen.head.publications.includes(update.publication)
     ? purify.Right(true)
-    : purify.Left(describeConflict(move.environment, seen.head.generation));
+    : purify.Left(describeConflict(update.environment, seen.head.generation));
 };
 
 /**
@@ -99,14 +102,14 @@
  * conditional on the base version, so repeating it can not apply twice, and
  * after a conflict the head tells whose publication won.
  */
-export const moveHead = async (
-  move: Move,
+export const updateHead = async (
+  update: HeadUpdate,
 ): Promise<PublishResult<Publication>> => {
-  const done = {generation: move.head.generation, digest: move.head.digest};
+  const done = {generation: update.head.generation, digest: update.head.digest};
   let mayHaveWritten = false;
   let message = '';
-  for (let tries = 0; tries < TRIES; tries++) {
-    const result = await writeHead(move);
+  for (let tries = 0; tries < MAX_ATTEMPTS; tries++) {
+    const result = await writeHead(update);
     if (result.isRight()) {
       return purify.Right(done);
     }
@@ -116,17 +119,17 @@
     if (error.code === 'unavailable') {
       continue;
     }
-    const settled = await settle(move);
+    const settled = await resolveLostWrite(update);
     if (settled) {
       return settled.map(() => done);
     }
     if (!mayHaveWritten) {
-      return purify.Left(describeConflict(move.environment, undefined));
+      return purify.Left(describeConflict(update.environment, undefined));
     }
   }
   return purify.Left(
     mayHaveWritten
-      ? {code: 'unknown', message, publication: move.publication}
+      ? {code: 'unknown', message, publication: update.publication}
       : {code: 'unavailable', message},
   );
 };
--- a/packages/membership/src/head-watcher.ts
+++ b/packages/membership/src/head-watcher.ts
@@ -10,13 +10,13 @@
  * stops, also when one call fails. 27 watchers make 39
  * calls/s of the platform's 2,000.
  */
-export const WATCH_MS = 700;
+export const WATCH_TIMEOUT_MS = 700;
 
 /**
  * Time between plain reads of the head, in milliseconds, in case a watch lost
  * an event: the platform bounds the events that it keeps.
  */
-const HEAD_READ_MS = 10_000;
+const HEAD_READ_INTERVAL_MS = 10_000;
 
 /** Parts that a watcher works with. */
 export interface HeadWatcherOptions {
@@ -37,9 +37,9 @@
   constructor(private readonly options: HeadWatcherOptions) {}
 
   /** Reads or watches once; says whether the answer was of use. */
-  next(): Promise<boolean> {
+  poll(): Promise<boolean> {
     const age = this.options.clock.now() - this.headReadAt;
-    return this.headVersion === undefined || age >= HEAD_READ_MS
+    return this.headVersion === undefined || age >= HEAD_READ_INTERVAL_MS
       ? this.read()
       : this.watch(this.headVersion);
   }
@@ -66,7 +66,7 @@
       configurationHead.HEAD_KIND,
       afterVersion,
       // A change wakes all watchers at once; spread, they drift apart again.
-      WATCH_MS * (0.9 + 0.2 * this.options.random()),
+      WATCH_TIMEOUT_MS * (0.9 + 0.2 * this.options.random()),
       signal,
     );
     if (result.isLeft() || signal.aborted) {
--- a/packages/membership/src/lease.ts
+++ b/packages/membership/src/lease-keeper.ts
@@ -69,7 +69,7 @@
   readonly leaseMs?: number;
 }
 
-interface Sighting {
+interface Observation {
   readonly version: number;
   readonly at: number;
 }
@@ -88,13 +88,13 @@
   private readonly leaseMs: number;
   private term: LeaseTerm | undefined;
   /** Monotonic time until which this instance may act. */
-  private until = -Infinity;
+  private actsUntil = -Infinity;
   /** Version of the lease object as last known. */
   private version = 0;
   private write = 0;
   /** When each write that is not yet settled was sent. */
   private readonly sentAt = new Map<number, number>();
-  private sighting: Sighting | undefined;
+  private observation: Observation | undefined;
 
   constructor(private readonly options: LeaseKeeperOptions) {
     this.leaseMs = options.leaseMs ?? LEASE_MS;
@@ -108,17 +108,17 @@
    * look and the order itself is covered by the fencing number.
    */
   mayAct(): boolean {
-    return this.term !== undefined && this.options.clock.now() < this.until;
+    return this.term !== undefined && this.options.clock.now() < this.actsUntil;
   }
 
   /** The term that this instance may act in; undefined when it may not. */
-  current(): LeaseTerm | undefined {
+  currentTerm(): LeaseTerm | undefined {
     return this.mayAct() ? this.term : undefined;
   }
 
   /** Takes the lease if it is free or has lapsed. */
   async acquire(): Promise<purify.Either<LeaseError, LeaseTerm>> {
-    this.end();
+    this.endTerm();
     const {store, name} = this.options;
     const read = await store.get(LEASE_KIND, name);
     if (read.isRight()) {
@@ -136,7 +136,7 @@
     if (!this.mayAct()) {
       // A lapsed term is not revived, though nobody may have taken over yet:
       // a new one gets a new fencing number.
-      this.end();
+      this.endTerm();
       return fail('held', `the lease ${name} lapsed`);
     }
     const result = await this.send(record =>
@@ -144,7 +144,7 @@
     );
     result.ifLeft(({code}) => {
       if (code === 'held') {
-        this.end();
+        this.endTerm();
       }
     });
     return result;
@@ -158,7 +158,7 @@
     }
     // No order after this point, whatever becomes of the write below: when it
     // is lost, the lease lapses.
-    this.end();
+    this.endTerm();
     const record = {holder: '', token, write: ++this.write, leaseMs: 0};
     const result = await store.update(LEASE_KIND, name, record, this.version);
     if (result.isRight()) {
@@ -172,9 +172,9 @@
     }
   }
 
-  private end(): void {
+  private endTerm(): void {
     this.term = undefined;
-    this.until = -Infinity;
+    this.actsUntil = -Infinity;
   }
 
   private takeOver(
@@ -182,11 +182,11 @@
   ): Promise<purify.Either<LeaseError, LeaseTerm>> {
     const {store, name, clock, token} = this.options;
     const record = object.value as LeaseRecord;
-    if (this.sighting?.version !== object.version) {
-      this.sighting = {version: object.version, at: clock.now()};
+    if (this.observation?.version !== object.version) {
+      this.observation = {version: object.version, at: clock.now()};
     }
     const isFree = record.holder === '' || record.token === token;
-    const isLapsed = clock.now() - this.sighting.at >= record.leaseMs;
+    const isLapsed = clock.now() - this.observation.at >= record.leaseMs;
     if (!isFree && !isLapsed) {
       return Promise.resolve(fail('held', `${record.holder} holds ${name}`));
     }
@@ -216,7 +216,7 @@
         return failUnavailable(error);
       case 'conflict':
       case 'unknown':
-        return this.settle();
+        return this.resolveOutcome();
     }
   }
 
@@ -225,7 +225,9 @@
    * be with an earlier write of this keeper whose answer was lost. The token
    * in the object says whose write took effect and which one.
    */
-  private async settle(): Promise<purify.Either<LeaseError, LeaseTerm>> {
+  private async resolveOutcome(): Promise<
+    purify.Either<LeaseError, LeaseTerm>
+  > {
     const {store, name, token} = this.options;
     const read = await store.get(LEASE_KIND, name);
     if (read.isLeft()) {
@@ -254,7 +256,10 @@
     }
     this.version = object.version;
     this.term ??= {fencing: object.version};
-    this.until = Math.max(this.until, sentAt + this.leaseMs * HOLDER_SHARE);
+    this.actsUntil = Math.max(
+      this.actsUntil,
+      sentAt + this.leaseMs * HOLDER_SHARE,
+    );
     return this.term;
   }
 }
--- a/packages/membership/src/duties.ts
+++ b/packages/membership/src/leased-task-runner.ts
@@ -4,25 +4,25 @@
  */
 import * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
-import * as lease from './lease.js';
-import type * as peersModule from './peers.js';
+import * as leaseKeeper from './lease-keeper.js';
+import type * as peerTable from './peer-table.js';
 
 /**
  * Instances that try to take a duty's lease: its best by rendezvous hash. Two,
  * so that one may die; were it all, 1,000 instances would each read each
  * lease, beyond what the platform takes.
  */
-export const DUTY_CANDIDATES = 2;
+export const TASK_CANDIDATES = 2;
 
 /**
  * Time between renewals, and between looks at a lease held elsewhere, in
  * milliseconds, spread by a tenth. Two renewals may be lost before a lease of
  * 10 s lapses.
  */
-const RENEW_MS = 3_000;
+const RENEWAL_INTERVAL_MS = 3_000;
 
 /** What a duty's work gets. */
-export interface DutyTerm {
+export interface TaskTerm {
   /** Number to send with each order; a later holder's is higher. */
   readonly fencing: number;
   /** Whether an order may be given now; asked before each one. */
@@ -35,40 +35,40 @@
  * A duty's work. It returns soon after the signal aborts, or when it has
  * nothing left to do; it is then run again on whoever takes the lease.
  */
-export type DutyWork = (term: DutyTerm) => Promise<void>;
+export type LeasedTask = (term: TaskTerm) => Promise<void>;
 
 /** Parts that a runner works with. */
-export interface DutyRunnerOptions {
+export interface LeasedTaskRunnerOptions {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
   readonly random: () => number;
-  readonly peers: peersModule.Peers;
+  readonly peers: peerTable.PeerTable;
   /** Draws a token that is never drawn again, anywhere. */
   readonly createToken: () => string;
   readonly leaseMs?: number;
 }
 
-interface Duty {
+interface RunningTask {
   readonly stopping: AbortController;
   readonly done: Promise<void>;
-  readonly keeper: lease.LeaseKeeper;
+  readonly keeper: leaseKeeper.LeaseKeeper;
 }
 
 /** Runs duties on this instance while it holds their leases. */
-export class DutyRunner {
-  private readonly duties = new Map<string, Duty>();
+export class LeasedTaskRunner {
+  private readonly tasks = new Map<string, RunningTask>();
   private isStopped = false;
 
-  constructor(private readonly options: DutyRunnerOptions) {}
+  constructor(private readonly options: LeasedTaskRunnerOptions) {}
 
   /** Begins to compete for a duty; a name that is known is left alone. */
-  add(name: string, work: DutyWork): void {
-    if (this.isStopped || this.duties.has(name)) {
+  add(name: string, work: LeasedTask): void {
+    if (this.isStopped || this.tasks.has(name)) {
       return;
     }
     const {store, clock, peers, createToken, leaseMs} = this.options;
     const stopping = new AbortController();
-    const keeper = new lease.LeaseKeeper({
+    const keeper = new leaseKeeper.LeaseKeeper({
       store,
       clock,
       name,
@@ -77,21 +77,21 @@
       ...(leaseMs === undefined ? {} : {leaseMs}),
     });
     const done = this.compete(name, work, keeper, stopping.signal);
-    this.duties.set(name, {stopping, done, keeper});
+    this.tasks.set(name, {stopping, done, keeper});
   }
 
   /** Stops a duty here and gives its lease up. */
   async remove(name: string): Promise<void> {
-    const duty = this.duties.get(name);
-    this.duties.delete(name);
-    duty?.stopping.abort();
-    await duty?.done;
+    const task = this.tasks.get(name);
+    this.tasks.delete(name);
+    task?.stopping.abort();
+    await task?.done;
   }
 
   /** Names of the duties that this instance may act on now; sorted. */
-  held(): readonly string[] {
-    return [...this.duties]
-      .filter(([, duty]) => duty.keeper.mayAct())
+  heldTasks(): readonly string[] {
+    return [...this.tasks]
+      .filter(([, task]) => task.keeper.mayAct())
       .map(([name]) => name)
       .sort();
   }
@@ -103,13 +103,13 @@
    */
   async stop(): Promise<void> {
     this.isStopped = true;
-    await Promise.all([...this.duties.keys()].map(name => this.remove(name)));
+    await Promise.all([...this.tasks.keys()].map(name => this.remove(name)));
   }
 
   private async compete(
     name: string,
-    work: DutyWork,
-    keeper: lease.LeaseKeeper,
+    work: LeasedTask,
+    keeper: leaseKeeper.LeaseKeeper,
     signal: AbortSignal,
   ): Promise<void> {
     while (!signal.aborted) {
@@ -119,15 +119,15 @@
           await this.hold(taken.unsafeCoerce(), work, keeper, signal);
         }
       }
-      await this.sleep(RENEW_MS, signal);
+      await this.sleep(RENEWAL_INTERVAL_MS, signal);
     }
   }
 
   /** Works and renews until the work is done, the lease lost, or a stop. */
   private async hold(
-    term: lease.LeaseTerm,
-    work: DutyWork,
-    keeper: lease.LeaseKeeper,
+    term: leaseKeeper.LeaseTerm,
+    work: LeasedTask,
+    keeper: leaseKeeper.LeaseKeeper,
     signal: AbortSignal,
   ): Promise<void> {
     const lost = new AbortController();
@@ -149,11 +149,11 @@
   }
 
   private async renew(
-    keeper: lease.LeaseKeeper,
+    keeper: leaseKeeper.LeaseKeeper,
     signal: AbortSignal,
   ): Promise<void> {
     while (keeper.mayAct()) {
-      await this.sleep(RENEW_MS, signal);
+      await this.sleep(RENEWAL_INTERVAL_MS, signal);
       if (signal.aborted) {
         return;
       }
@@ -165,7 +165,7 @@
     const {peers} = this.options;
     const ids = peers.candidates().map(peer => peer.id);
     return decisions
-      .rankByRendezvous(`duty/${name}`, ids, DUTY_CANDIDATES)
+      .rankByRendezvous(`duty/${name}`, ids, TASK_CANDIDATES)
       .includes(peers.self().id);
   }
 
--- a/packages/membership/src/peer-discovery.ts
+++ b/packages/membership/src/peer-discovery.ts
@@ -2,20 +2,20 @@
 import type * as ports from '@amaranthknot/ports';
 import * as protocol from '@amaranthknot/protocol';
 import * as configurationRelay from './configuration-relay.js';
-import type * as peersModule from './peers.js';
+import type * as peerTable from './peer-table.js';
 
 /**
  * Time between reads of the platform's list, and the rate of the whole fleet
  * that it must not exceed: 1,000 instances read it every 50 s.
  */
-const LIST_MS = 5_000;
+const MIN_LIST_INTERVAL_MS = 5_000;
 const LISTS_PER_S = 20;
 
 /** Parts that discovery works with. */
 export interface PeerDiscoveryOptions {
   readonly instances: ports.InstanceList;
   readonly transport: protocol.PeerTransport;
-  readonly peers: peersModule.Peers;
+  readonly peers: peerTable.PeerTable;
   readonly clock: ports.Clock;
   /** Addresses from the settings, asked while the list is out. */
   readonly seeds?: readonly string[];
@@ -28,7 +28,7 @@
   /** Time to the next read, in milliseconds; grows with the fleet. */
   intervalMs(): number {
     const size = this.options.peers.size();
-    return Math.max(LIST_MS, (size / LISTS_PER_S) * 1_000);
+    return Math.max(MIN_LIST_INTERVAL_MS, (size / LISTS_PER_S) * 1_000);
   }
 
   /** Reads the list; while it is out and nobody is known, asks the seeds. */
--- a/packages/membership/src/peers.ts
+++ b/packages/membership/src/peer-table.ts
@@ -12,14 +12,14 @@
  * a higher incarnation; news reaches 7 instances in about 2 s and 1,000 in
  * about 10 s at one exchange each second.
  */
-const SUSPECT_MS = 3_000;
+const SUSPICION_MS = 3_000;
 const SUSPECT_PER_DOUBLING_MS = 700;
 
 /**
  * Time that a dead instance is remembered, in milliseconds, so that old news
  * does not bring it back, and zones that fell silent still count as zones.
  */
-const DEAD_MS = 600_000;
+const DEAD_RETENTION_MS = 600_000;
 
 /**
  * Times that a piece of news is passed on, per doubling of the fleet. Three
@@ -44,7 +44,7 @@
 interface Row {
   peer: protocol.Peer;
   since: number;
-  newsLeft: number;
+  transmissionsLeft: number;
   isListed: boolean;
   isListedLeaving: boolean;
 }
@@ -66,7 +66,7 @@
 };
 
 /** The entry instances as one of them sees them. */
-export class Peers {
+export class PeerTable {
   private readonly rows = new Map<string, Row>();
   /** Instances still to come in this round of draws. */
   private readonly round: string[] = [];
@@ -135,14 +135,14 @@
   }
 
   /** Takes in news that came with an exchange. */
-  applyNews(news: readonly protocol.Peer[], now: number): void {
-    for (const peer of news) {
+  applyNews(rows: readonly protocol.Peer[], now: number): void {
+    for (const peer of rows) {
       this.merge(peer, now);
     }
   }
 
   /** Takes in what an instance said of itself just now: it lives. */
-  hear(peer: protocol.Peer, now: number): void {
+  recordContact(peer: protocol.Peer, now: number): void {
     const row = this.rows.get(peer.id);
     if (row?.peer.incarnation !== peer.incarnation) {
       this.merge(peer, now);
@@ -154,7 +154,7 @@
   }
 
   /** An exchange with the instance failed. */
-  fail(id: string, now: number): void {
+  recordFailure(id: string, now: number): void {
     const peer = this.rows.get(id)?.peer;
     switch (peer?.state) {
       case 'live':
@@ -172,7 +172,7 @@
   }
 
   /** Announces that this instance leaves. */
-  leave(): void {
+  markLeaving(): void {
     this.selfPeer = {
       ...this.selfPeer,
       state: 'leaving',
@@ -181,15 +181,19 @@
   }
 
   /** Declares overdue suspects dead, and forgets those long dead. */
-  tick(now: number): void {
+  expire(now: number): void {
     const suspectMs =
-      SUSPECT_MS + SUSPECT_PER_DOUBLING_MS * Math.log2(this.size());
+      SUSPICION_MS + SUSPECT_PER_DOUBLING_MS * Math.log2(this.size());
     for (const [id, row] of this.rows) {
       const age = now - row.since;
       if (row.peer.state === 'suspect' && age >= suspectMs) {
         this.merge({...row.peer, state: 'dead'}, now);
       }
-      if (row.peer.state === 'dead' && age >= DEAD_MS && !row.isListed) {
+      if (
+        row.peer.state === 'dead' &&
+        age >= DEAD_RETENTION_MS &&
+        !row.isListed
+      ) {
         this.rows.delete(id);
       }
     }
@@ -223,16 +227,16 @@
    * News for `receiver`, at most `limit` rows, least told first. What is held
    * against the receiver itself comes first, so that it can refute it.
    */
-  news(receiver: string, limit: number): protocol.Peer[] {
+  selectNews(receiver: string, limit: number): protocol.Peer[] {
     const about = this.rows.get(receiver);
     const accused =
       about && RANKS[about.peer.state] >= RANKS.suspect ? [about.peer] : [];
     const told = [...this.rows.values()]
-      .filter(row => row.newsLeft > 0 && row !== about)
-      .sort((a, b) => b.newsLeft - a.newsLeft)
+      .filter(row => row.transmissionsLeft > 0 && row !== about)
+      .sort((a, b) => b.transmissionsLeft - a.transmissionsLeft)
       .slice(0, limit - accused.length);
     for (const row of told) {
-      row.newsLeft--;
+      row.transmissionsLeft--;
     }
     return [...accused, ...told.map(row => row.peer)];
   }
@@ -276,7 +280,7 @@
     this.rows.set(peer.id, {
       peer,
       since: now,
-      newsLeft: isNews(peer, row) ? this.newsRounds() : 0,
+      transmissionsLeft: isNews(peer, row) ? this.newsRounds() : 0,
       isListed: row?.isListed ?? false,
       isListedLeaving: row?.isListedLeaving ?? false,
     });
--- a/packages/membership/src/section-history.ts
+++ b/packages/membership/src/section-history.ts
@@ -22,7 +22,7 @@
  * Removals kept. Peers are behind by seconds, in which operators remove a few
  * sections at most; past the bound older peers get the whole configuration.
  */
-const KEPT_REMOVALS = 256;
+const MAX_REMOVALS = 256;
 
 /** The history of no configuration at all, complete from the beginning. */
 export const EMPTY_HISTORY: SectionHistory = {
@@ -57,12 +57,12 @@
     changedAt.set(name, generation);
     removedAt.delete(name);
   }
-  return dropRemovals({changedAt, removedAt, since: history.since});
+  return pruneRemovals({changedAt, removedAt, since: history.since});
 };
 
-const dropRemovals = (history: SectionHistory): SectionHistory => {
+const pruneRemovals = (history: SectionHistory): SectionHistory => {
   const {changedAt, removedAt} = history;
-  const excess = removedAt.size - KEPT_REMOVALS;
+  const excess = removedAt.size - MAX_REMOVALS;
   if (excess <= 0) {
     return history;
   }
@@ -76,9 +76,9 @@
 };
 
 /** Adds the steps of a head, oldest first. */
-export const followSteps = (
+export const applyHeadDeltas = (
   history: SectionHistory,
-  steps: readonly configurationHead.HeadStep[],
+  steps: readonly configurationHead.HeadDelta[],
 ): SectionHistory =>
   steps.reduce(
     (extended, {generation, entries, removed}) =>
@@ -91,7 +91,7 @@
   );
 
 /** Names and generations of a map, of those after `generation`. */
-export const listAfter = (
+export const listChangesAfter = (
   changes: ReadonlyMap<string, number>,
   generation: number,
 ): SectionChange[] =>
--- a/packages/membership/tests/configuration-follower.test.ts
+++ b/packages/membership/tests/configuration-follower.test.ts
@@ -15,7 +15,9 @@
     );
     chai.expect(isDone).equal(true);
     const versions = fleet.members.map(
-      member => member.follower.inForce()?.document.models[0]?.defaultVersion,
+      member =>
+        member.follower.activeConfiguration()?.document.models[0]
+          ?.defaultVersion,
     );
     chai.expect(new Set(versions)).eql(new Set(['v2']));
   });
@@ -84,7 +86,7 @@
       const late = fleet.add();
       void late.follower.start();
       await fleet.clock.advance(5_000);
-      chai.expect(late.follower.generationInForce()).equal(1);
+      chai.expect(late.follower.activeGeneration()).equal(1);
       chai.expect(late.follower.mayTakeWork()).equal(true);
     });
   }
--- a/packages/membership/tests/configuration-history.test.ts
+++ b/packages/membership/tests/configuration-history.test.ts
@@ -154,7 +154,7 @@
       samples.push({
         at: fleet.clock.now(),
         process: names.get(each) ?? '',
-        generation: each.follower.generationInForce(),
+        generation: each.follower.activeGeneration(),
         mayTakeWork: each.follower.mayTakeWork(),
       });
     }
--- a/packages/membership/tests/configuration-step.test.ts
+++ b/packages/membership/tests/configuration-update.test.ts
@@ -10,7 +10,7 @@
   Promise.resolve(purify.Left({code: 'not_sent', message: 'none'}));
 
 /** Relays, without peers unless given, fed with heads straight from a store. */
-const createScene = () => {
+const createFixture = () => {
   const clock = new fakes.VirtualClock();
   const store = new fakes.MemoryObjectStore({clock});
   const createRelay = (transport: protocol.PeerTransport = refuse) =>
@@ -18,7 +18,7 @@
       environment: fleets.ENVIRONMENT,
       store,
       transport,
-      peers: new membership.Peers({
+      peers: new membership.PeerTable({
         id: 'a',
         address: 'a:80',
         zone: 'a',
@@ -35,7 +35,7 @@
     const read = await membership.readHead(store, fleets.ENVIRONMENT);
     const stored = read.unsafeCoerce();
     await relay.adoptHead(stored!.head);
-    return relay.inForce()!;
+    return relay.activeConfiguration()!;
   };
   return {clock, createRelay, publish, follow};
 };
@@ -73,9 +73,9 @@
   // last change, or can not follow any more.
   for (const {name, documents} of paths) {
     it(`lead from each generation to the last when a part is ${name}`, async () => {
-      const {createRelay, publish, follow} = createScene();
+      const {createRelay, publish, follow} = createFixture();
       const skipping = createRelay();
-      const stages: membership.ConfigurationInForce[] = [];
+      const stages: membership.ActiveConfiguration[] = [];
       for (const [index, document] of documents.entries()) {
         await publish(document);
         stages.push(await follow(createRelay()));
@@ -85,10 +85,10 @@
       }
       const last = await follow(skipping);
       for (const stage of stages.slice(0, -1)) {
-        const change = membership.describeChange(stage.generation, last);
+        const change = membership.createChange(stage.generation, last);
         const taken = membership
-          .readChange(stage, change)
-          .chain(step => membership.takeStep(stage, step));
+          .parseChange(stage, change)
+          .chain(step => membership.applyUpdate(stage, step));
         chai.expect(taken.unsafeCoerce().document).eql(last.document);
         chai.expect(change.baseGeneration).equal(stage.generation);
       }
@@ -96,12 +96,12 @@
   }
 
   it('are refused when they are old, altered or of another base', async () => {
-    const {createRelay, publish, follow} = createScene();
+    const {createRelay, publish, follow} = createFixture();
     await publish(zoned('in'));
     const first = await follow(createRelay());
     await publish(zoned('out'));
     const last = await follow(createRelay());
-    const change = membership.describeChange(1, last);
+    const change = membership.createChange(1, last);
     const altered = {
       ...change,
       sections: change.sections.map(each => ({...each, content: {name: 'b'}})),
@@ -110,20 +110,20 @@
       {current: last, change, code: 'other_base'},
       {
         current: last,
-        change: membership.describeChange(0, last),
+        change: membership.createChange(0, last),
         code: 'not_newer',
       },
       {
         current: last,
-        change: membership.describeChange(0, first),
+        change: membership.createChange(0, first),
         code: 'not_newer',
       },
       {current: first, change: altered, code: 'corrupt'},
     ];
     for (const {current, change: given, code} of cases) {
       const error = membership
-        .readChange(current, given)
-        .chain(step => membership.takeStep(current, step))
+        .parseChange(current, given)
+        .chain(step => membership.applyUpdate(current, step))
         .swap()
         .unsafeCoerce();
       chai.expect(error.code).equal(code);
@@ -131,16 +131,16 @@
   });
 
   it('give the whole to one behind the history', async () => {
-    const {createRelay, publish, follow} = createScene();
+    const {createRelay, publish, follow} = createFixture();
     for (let i = 0; i < 5; i++) {
       await publish(zoned(i % 2 === 0 ? 'in' : 'out'));
     }
     const late = await follow(createRelay());
-    const change = membership.describeChange(1, late);
+    const change = membership.createChange(1, late);
     chai.expect(change.baseGeneration).equal(undefined);
     const taken = membership
-      .readChange(undefined, change)
-      .chain(step => membership.takeStep(undefined, step));
+      .parseChange(undefined, change)
+      .chain(step => membership.applyUpdate(undefined, step));
     chai.expect(taken.unsafeCoerce().document).eql(late.document);
   });
 });
@@ -149,7 +149,7 @@
   // The platform answers a watch with an older head than is in force. It must
   // not count as a word of the platform on what is in force now.
   it('does not take an older head for a confirmation', async () => {
-    const {createRelay, publish, follow} = createScene();
+    const {createRelay, publish, follow} = createFixture();
     await publish(zoned('in'));
     const relay = createRelay();
     const {digest} = await follow(relay);
@@ -168,7 +168,7 @@
   ];
   for (const {name, isLost, generation, isConfirmed} of answers) {
     it(`is confirmed by a newer peer only with sections ${name}`, async () => {
-      const {clock, createRelay, publish, follow} = createScene();
+      const {clock, createRelay, publish, follow} = createFixture();
       const ahead = createRelay();
       const exchangeGenerations = (
         params: protocol.Params<'exchange_generations'>,
--- a/packages/membership/tests/fleet.ts
+++ b/packages/membership/tests/fleet.ts
@@ -42,7 +42,7 @@
 export interface Member {
   readonly id: string;
   readonly peer: protocol.Peer;
-  readonly peers: membership.Peers;
+  readonly peers: membership.PeerTable;
   readonly follower: membership.ConfigurationFollower;
   /** Generations in the order in which they came into force. */
   readonly taken: number[];
@@ -108,7 +108,7 @@
       incarnation: this.clock.wallTime(),
     };
     const taken: number[] = [];
-    const peers = new membership.Peers(peer);
+    const peers = new membership.PeerTable(peer);
     const follower = new membership.ConfigurationFollower({
       environment: ENVIRONMENT,
       store: guardStore(this.store, () => member.isCutFromPlatform),
@@ -159,7 +159,7 @@
   isInForce(generation: number): boolean {
     return this.members
       .filter(member => !member.isDown)
-      .every(member => member.follower.generationInForce() >= generation);
+      .every(member => member.follower.activeGeneration() >= generation);
   }
 
   /** Kills an instance: its loops end and nobody reaches it. */
--- a/packages/membership/tests/generation-report.test.ts
+++ b/packages/membership/tests/generation-report.test.ts
@@ -22,7 +22,7 @@
   let outcome: membership.WaitOutcome | undefined;
   const instances = fleet.members.map(({peer}) => peer);
   void membership
-    .waitInForce(instances, {
+    .waitUntilActive(instances, {
       transport: connect(fleet),
       clock: fleet.clock,
       environment: fleets.ENVIRONMENT,
--- a/packages/membership/tests/lease-history.test.ts
+++ b/packages/membership/tests/lease-history.test.ts
@@ -211,7 +211,7 @@
     act(step);
     await clock.advance(STEP_MS);
     const acting = members.flatMap(({keeper}, index) => {
-      const term = keeper.current();
+      const term = keeper.currentTerm();
       return term ? [{holder: `entry-${index}`, fencing: term.fencing}] : [];
     });
     history.push({at: clock.now(), acting});
--- a/packages/membership/tests/lease.test.ts
+++ b/packages/membership/tests/lease-keeper.test.ts
@@ -6,7 +6,7 @@
 const NAME = 'rollout/small';
 const LEASE_MS = membership.LEASE_MS;
 
-const createScene = () => {
+const createFixture = () => {
   const clock = new fakes.VirtualClock();
   const store = new fakes.MemoryObjectStore({clock});
   let keepers = 0;
@@ -34,7 +34,7 @@
 
 describe('LeaseKeeper', () => {
   it('gives one of two racers the lease', async () => {
-    const {createKeeper} = createScene();
+    const {createKeeper} = createFixture();
     const keepers = [createKeeper('a'), createKeeper('b')];
     const results = await Promise.all(keepers.map(each => each.acquire()));
     chai.expect(results.map(codeOf).sort()).eql(['held', 'held here']);
@@ -44,7 +44,7 @@
   // A roll-out goes on twice: its keeper was paused past its lease, wakes and
   // gives orders beside its successor.
   it('stops a holder that was paused past its lease', async () => {
-    const {clock, createKeeper} = createScene();
+    const {clock, createKeeper} = createFixture();
     const [paused, successor] = [createKeeper('a'), createKeeper('b')];
     const first = (await paused.acquire()).unsafeCoerce();
     chai.expect(codeOf(await successor.acquire())).equal('held');
@@ -59,7 +59,7 @@
   // The holder's lease lapses and nobody takes it. Orders of before the lapse
   // may still be under way, so the next term needs its own fencing number.
   it('gives a lapsed holder a new term, not the old one', async () => {
-    const {clock, createKeeper} = createScene();
+    const {clock, createKeeper} = createFixture();
     const keeper = createKeeper('a');
     const first = (await keeper.acquire()).unsafeCoerce();
     await clock.advance(LEASE_MS);
@@ -69,7 +69,7 @@
   });
 
   it('lasts as long as it is renewed, under one fencing number', async () => {
-    const {clock, createKeeper} = createScene();
+    const {clock, createKeeper} = createFixture();
     const [holder, other] = [createKeeper('a'), createKeeper('b')];
     const first = (await holder.acquire()).unsafeCoerce();
     for (let i = 0; i < 10; i++) {
@@ -110,7 +110,7 @@
   ];
   for (const {name, operation, fault, mayAct} of lost) {
     it(`acts only on what took effect when it loses ${name}`, async () => {
-      const {store, createKeeper} = createScene();
+      const {store, createKeeper} = createFixture();
       const keeper = createKeeper('a');
       store.fault = called => (called === operation ? fault : 'none');
       await keeper.acquire();
@@ -124,7 +124,7 @@
   // Renewals are lost one after the other, some before and some after they
   // took effect; the holder must neither stop early nor act too long.
   it('acts no longer than the last renewal that it sent', async () => {
-    const {clock, store, createKeeper} = createScene();
+    const {clock, store, createKeeper} = createFixture();
     const keeper = createKeeper('a');
     await keeper.acquire();
     await clock.advance(3_000);
@@ -143,7 +143,7 @@
   });
 
   it('frees the lease at once on release, an answer lost before', async () => {
-    const {store, createKeeper} = createScene();
+    const {store, createKeeper} = createFixture();
     const [holder, next] = [createKeeper('a'), createKeeper('b')];
     await holder.acquire();
     store.fault = operation => {
--- a/packages/membership/tests/duties.test.ts
+++ b/packages/membership/tests/leased-task-runner.test.ts
@@ -4,9 +4,9 @@
 import type * as ports from '@amaranthknot/ports';
 import * as fleets from './fleet.js';
 
-const DUTY = 'rollout/small';
+const TASK = 'rollout/small';
 
-const createScene = (count: number) => {
+const createFixture = (count: number) => {
   const clock = new fakes.VirtualClock();
   const store = new fakes.MemoryObjectStore({clock});
   const random = fleets.createRandom(1);
@@ -26,7 +26,7 @@
   const cut = new Set<string>();
   let tokens = 0;
   const members = listed.map(({id, address}) => {
-    const peers = new membership.Peers({
+    const peers = new membership.PeerTable({
       id,
       address,
       zone: 'a',
@@ -34,14 +34,14 @@
       incarnation: 1,
     });
     peers.applyList(listed, 0);
-    const runner = new membership.DutyRunner({
+    const runner = new membership.LeasedTaskRunner({
       store: fleets.guardStore(store, () => cut.has(id)),
       clock,
       random,
       peers,
       createToken: () => `token-${++tokens}`,
     });
-    const work: membership.DutyWork = async term => {
+    const work: membership.LeasedTask = async term => {
       running.push(id);
       fencings.push(term.fencing);
       await clock.sleep(Infinity, term.signal);
@@ -50,7 +50,7 @@
     return {id, peers, runner, work};
   });
   const startAll = () => {
-    members.forEach(({runner, work}) => runner.add(DUTY, work));
+    members.forEach(({runner, work}) => runner.add(TASK, work));
   };
   return {clock, store, members, running, fencings, cut, startAll};
 };
@@ -59,7 +59,7 @@
   it('runs a duty on one instance, at a cost that does not grow', async () => {
     const costs: number[] = [];
     for (const count of [3, 40]) {
-      const scene = createScene(count);
+      const scene = createFixture(count);
       scene.startAll();
       await scene.clock.advance(60_000);
       chai.expect(scene.running.length).equal(1);
@@ -72,11 +72,11 @@
   // An instance is stopped for a new release while it keeps a roll-out. The
   // roll-out stands still until a lease lapses, or goes on in two places.
   it('hands its duties over before it leaves', async () => {
-    const {clock, members, running, fencings, startAll} = createScene(3);
+    const {clock, members, running, fencings, startAll} = createFixture(3);
     startAll();
     await clock.advance(20_000);
     const leaver = members.find(({id}) => id === running[0])!;
-    leaver.peers.leave();
+    leaver.peers.markLeaving();
     const stopping = leaver.runner.stop();
     await clock.advance(10);
     await stopping;
@@ -85,7 +85,7 @@
     chai.expect(running.length).equal(1);
     chai.expect(running[0]).not.equal(leaver.id);
     chai.expect(fencings[1]).greaterThan(fencings[0]!);
-    leaver.runner.add(DUTY, leaver.work);
+    leaver.runner.add(TASK, leaver.work);
     await clock.advance(20_000);
     chai.expect(running.length).equal(1);
   });
@@ -93,7 +93,7 @@
   // The keeper of a roll-out is gone without a word. The roll-out must go on
   // elsewhere, under a higher number, and never in both places.
   it('goes on elsewhere after its keeper was cut off', async () => {
-    const {clock, running, fencings, cut, startAll} = createScene(3);
+    const {clock, running, fencings, cut, startAll} = createFixture(3);
     startAll();
     await clock.advance(20_000);
     const [gone] = running;
@@ -111,7 +111,7 @@
   // The platform is out for longer than a lease. The keeper must stop, as
   // nobody can tell whether it was replaced, and begin anew afterwards.
   it('stops its work when the lease can not be renewed', async () => {
-    const {clock, store, running, fencings, startAll} = createScene(3);
+    const {clock, store, running, fencings, startAll} = createFixture(3);
     startAll();
     await clock.advance(10_000);
     store.fault = () => 'down';
@@ -128,9 +128,9 @@
   // The work of a duty fails at once each time. It must be tried again at a
   // bearable rate, and not end for good.
   it('tries failed work again after a while', async () => {
-    const {clock, members} = createScene(1);
+    const {clock, members} = createFixture(1);
     let tries = 0;
-    members[0]!.runner.add(DUTY, () => {
+    members[0]!.runner.add(TASK, () => {
       tries++;
       return Promise.reject(new Error('broken'));
     });
--- a/packages/membership/tests/peers.test.ts
+++ b/packages/membership/tests/peer-table.test.ts
@@ -16,12 +16,12 @@
 });
 
 const createPeers = (...rows: readonly protocol.Peer[]) => {
-  const peers = new membership.Peers(createPeer('self'));
+  const peers = new membership.PeerTable(createPeer('self'));
   peers.applyNews(rows, 0);
   return peers;
 };
 
-const stateOf = (peers: membership.Peers, id: string) =>
+const stateOf = (peers: membership.PeerTable, id: string) =>
   peers.all().find(peer => peer.id === id)?.state;
 
 describe('Peers', () => {
@@ -56,7 +56,7 @@
   it('refutes a rumour of its own death', () => {
     const peers = createPeers();
     peers.applyNews([createPeer('self', {state: 'suspect'})], 0);
-    const other = new membership.Peers(createPeer('other'));
+    const other = new membership.PeerTable(createPeer('other'));
     other.applyNews([createPeer('self', {state: 'suspect'})], 0);
     other.applyNews([peers.self()], 0);
     chai.expect(stateOf(other, 'self')).equal('live');
@@ -64,20 +64,20 @@
 
   it('tells a suspect what is held against it, before other news', () => {
     const peers = createPeers(createPeer('b'), createPeer('c'));
-    peers.fail('b', 0);
-    chai.expect(peers.news('b', 1)[0]?.state).equal('suspect');
+    peers.recordFailure('b', 0);
+    chai.expect(peers.selectNews('b', 1)[0]?.state).equal('suspect');
   });
 
   it('declares a silent suspect dead, and a silent leaver at once', () => {
     const leaver = createPeer('c', {state: 'leaving'});
     const peers = createPeers(createPeer('b'), leaver);
-    peers.fail('b', 0);
-    peers.fail('c', 0);
-    peers.tick(1_000);
+    peers.recordFailure('b', 0);
+    peers.recordFailure('c', 0);
+    peers.expire(1_000);
     chai
       .expect([stateOf(peers, 'b'), stateOf(peers, 'c')])
       .eql(['suspect', 'dead']);
-    peers.tick(10_000);
+    peers.expire(10_000);
     chai.expect(stateOf(peers, 'b')).equal('dead');
   });
 
--- a/packages/protocol/src/fleet-messages.ts
+++ b/packages/protocol/src/fleet-messages.ts
@@ -45,7 +45,7 @@
 });
 
 /** The step from one state of the list of live instances to a later one. */
-export const memberStep = zod.object({
+export const memberListDelta = zod.object({
   /** Whether `changed` holds all there are. */
   isWhole: zod.boolean(),
   changed: zod.array(member).max(shapes.MAX_ITEMS),
@@ -75,7 +75,7 @@
 });
 
 /** The step from a view that is complete up to a version to a later one. */
-export const viewStep = zod.object({
+export const viewDelta = zod.object({
   /** All names that there are; others are gone. */
   names: zod.array(shapes.name).max(shapes.MAX_OBJECTS),
   /** Objects that changed after the asker's version. */
@@ -83,7 +83,7 @@
 });
 
 /** What an instance sees of one upstream; counts over the last seconds. */
-export const upstreamSigns = zod.object({
+export const upstreamStats = zod.object({
   id: shapes.name,
   inFlight: shapes.count,
   /** Weighted tokens of prompts whose answers have not begun. */
@@ -135,7 +135,7 @@
   from: member,
   /** Whether it tells others itself: it hears of the fleet from its peers. */
   isWatcher: zod.boolean().default(false),
-  upstreams: zod.array(upstreamSigns).max(shapes.MAX_OBJECTS),
+  upstreams: zod.array(upstreamStats).max(shapes.MAX_OBJECTS),
   limits: zod.array(rateLimit).max(shapes.MAX_OBJECTS).default([]),
   evidence: zod.array(orderEvidence).max(shapes.MAX_ITEMS),
   rollouts: zod.array(rolloutProgress).max(shapes.MAX_ITEMS),
@@ -149,9 +149,9 @@
 export const fleetSummary = zod.object({
   membersVersion: shapes.name,
   /** What has changed in it; absent where the asker has this version. */
-  members: memberStep.optional(),
+  members: memberListDelta.optional(),
   /** Sums over all instances but the asker. */
-  upstreams: zod.array(upstreamSigns).max(shapes.MAX_OBJECTS),
+  upstreams: zod.array(upstreamStats).max(shapes.MAX_OBJECTS),
   limits: zod.array(rateLimit).max(shapes.MAX_OBJECTS).default([]),
   /** Sums over all instances. */
   evidence: zod.array(evidenceSum).max(shapes.MAX_ITEMS),
@@ -169,7 +169,7 @@
   /** Members of groups that the receiver does not have as they are. */
   groupMembers: zod.array(groupMembers).max(shapes.MAX_ITEMS),
   views: zod.array(viewState).max(shapes.MAX_ENVIRONMENTS),
-  upstreams: zod.array(upstreamSigns).max(shapes.MAX_OBJECTS),
+  upstreams: zod.array(upstreamStats).max(shapes.MAX_OBJECTS),
   limits: zod.array(rateLimit).max(shapes.MAX_OBJECTS).default([]),
   evidence: zod.array(orderEvidence).max(shapes.MAX_ITEMS),
   rollouts: zod.array(rolloutProgress).max(shapes.MAX_ITEMS),
@@ -185,16 +185,16 @@
 export type GroupMembers = Readonly<zod.infer<typeof groupMembers>>;
 
 /** The step from one state of the list of live instances to a later one. */
-export type MemberStep = Readonly<zod.infer<typeof memberStep>>;
+export type MemberListDelta = Readonly<zod.infer<typeof memberListDelta>>;
 
 /** What an instance knows of one kind of objects in the store. */
 export type ViewState = Readonly<zod.infer<typeof viewState>>;
 
 /** The step from one state of a view to a later one. */
-export type ViewStep = Readonly<zod.infer<typeof viewStep>>;
+export type ViewDelta = Readonly<zod.infer<typeof viewDelta>>;
 
 /** What an instance sees of one upstream. */
-export type UpstreamSigns = Readonly<zod.infer<typeof upstreamSigns>>;
+export type UpstreamStats = Readonly<zod.infer<typeof upstreamStats>>;
 
 /** What one start of an instance counted of a roll-out's versions. */
 export type OrderEvidence = Readonly<zod.infer<typeof orderEvidence>>;
--- a/packages/protocol/src/http-transport.ts
+++ b/packages/protocol/src/http-transport.ts
@@ -17,13 +17,13 @@
  * thousand sockets open. Below the 5 s after which Node.js servers close an
  * idle connection: a request sent into a closing one would be lost.
  */
-const IDLE_MS = 4_000;
+const IDLE_TIMEOUT_MS = 4_000;
 
 /**
  * Text from which a message is compressed, in bytes: what instances tell of
  * each other and of a roll-out repeats the same names, and shrinks to a sixth.
  */
-const COMPRESSED_BYTES = 1_024;
+const COMPRESSION_THRESHOLD_BYTES = 1_024;
 
 /** Failures to connect: no byte of the request has left. */
 const CONNECT_ERRORS: readonly string[] = [
@@ -33,7 +33,7 @@
   'EADDRNOTAVAIL',
 ];
 
-const describe = (error: unknown): peerTransport.PeerError => {
+const toPeerError = (error: unknown): peerTransport.PeerError => {
   const {message, code = ''} = error as NodeJS.ErrnoException;
   const isConnectError = CONNECT_ERRORS.includes(code);
   return {code: isConnectError ? 'not_sent' : 'unknown', message};
@@ -56,7 +56,7 @@
 export const createHttpTransport = (
   options: HttpTransportOptions,
 ): HttpTransport => {
-  const agent = new http.Agent({keepAlive: true, timeout: IDLE_MS});
+  const agent = new http.Agent({keepAlive: true, timeout: IDLE_TIMEOUT_MS});
   const client = wreck.default.defaults({
     agent,
     headers: {
@@ -72,11 +72,11 @@
     payload: string,
     timeout: number,
   ): Promise<purify.Either<peerTransport.PeerError, string>> => {
-    const isLong = payload.length >= COMPRESSED_BYTES;
+    const isCompressed = payload.length >= COMPRESSION_THRESHOLD_BYTES;
     const response = await client.request(
       'POST',
       `http://${address}${INNER_PATH}`,
-      isLong
+      isCompressed
         ? {
             payload: zlib.gzipSync(payload, {
               level: zlib.constants.Z_BEST_SPEED,
@@ -102,7 +102,7 @@
   return {
     send: (address, requestText, timeoutMs) =>
       post(address, requestText, timeoutMs).catch((error: unknown) =>
-        purify.Left(describe(error)),
+        purify.Left(toPeerError(error)),
       ),
     close: () => agent.destroy(),
   };
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -226,7 +226,7 @@
       views: zod
         .array(
           fleetMessages.viewState.extend({
-            step: fleetMessages.viewStep.optional(),
+            step: fleetMessages.viewDelta.optional(),
           }),
         )
         .max(shapes.MAX_ENVIRONMENTS),
--- a/packages/protocol/src/peer-client.ts
+++ b/packages/protocol/src/peer-client.ts
@@ -28,7 +28,7 @@
     }),
   );
 
-const codeOf = (error: rpc.JSONRPCError): peerTransport.PeerErrorCode => {
+const toErrorCode = (error: rpc.JSONRPCError): peerTransport.PeerErrorCode => {
   // Handlers' failures carry the library's default code, 0.
   const refusals: readonly number[] = [-32700, -32600, -32601, -32602];
   return refusals.includes(error.code) ? 'refused' : 'failed';
@@ -44,7 +44,7 @@
       return failure('invalid', 'the answer is not JSON-RPC');
     }
     if (answer.error) {
-      return failure(codeOf(answer.error), answer.error.message);
+      return failure(toErrorCode(answer.error), answer.error.message);
     }
     const checked = messages.schemas[method].result.safeParse(answer.result);
     return checked.success
