--- a/packages/amaranthknot/src/gateway/fleet-report.ts
+++ b/packages/amaranthknot/src/gateway/fleet-report.ts
@@ -65,7 +65,7 @@
     if (!this.isLed()) {
       // A watcher's sums count the same requests; with both, engines look
       // twice as busy as they are and capable models too dear.
-      get('picker').hear(report.from.id, report.upstreams, 'others');
+      get('picker').merge(report.from.id, report.upstreams, 'others');
     }
   }
 
@@ -118,7 +118,7 @@
       return;
     }
     get('members').recordCaller(report.from, now);
-    get('picker').hear(report.from.id, report.upstreams, 'itself');
+    get('picker').merge(report.from.id, report.upstreams, 'itself');
     get('rollouts').merge(report.rollouts, report.evidence);
   }
 
@@ -153,7 +153,7 @@
     const now = get('options').clock.now();
     const name = nameStart(watcher);
     get('members').applyWatcherList(name, membersVersion, members, now);
-    get('picker').hear(WATCHER, upstreams, 'others');
+    get('picker').merge(WATCHER, upstreams, 'others');
     get('limits').merge(limits);
     get('rollouts').applySums(rollouts, evidence);
     this.toldSessions = {
--- a/packages/amaranthknot/src/gateway/gateway-tokens.ts
+++ b/packages/amaranthknot/src/gateway/gateway-tokens.ts
@@ -34,7 +34,7 @@
   readonly options: GatewayOptions;
   readonly log: telemetry.DecisionLog;
   readonly metrics: telemetry.GatewayMetrics;
-  readonly latencies: decisions.LatencyBook;
+  readonly latencies: decisions.LatencyEstimates;
   readonly capable: gateway.EscalationPolicy;
   readonly store: ports.StatusStore;
   readonly views: gatewayState.Views;
--- a/packages/amaranthknot/src/gateway/wiring/request-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/request-factories.ts
@@ -44,7 +44,7 @@
   const known = get('catalog').all();
   const ids = new Set(known.map(({upstream}) => upstream.id));
   get('pool').retain(ids);
-  get('picker').keepOnly(ids);
+  get('picker').retain(ids);
   get('limits').retain(ids);
 };
 
@@ -143,7 +143,7 @@
 export const createRequestFactories = (
   options: gatewayTokens.GatewayOptions,
 ): gatewayTokens.PartFactories<RequestPart> => ({
-  latencies: () => new decisions.LatencyBook(),
+  latencies: () => new decisions.LatencyEstimates(),
   capable: get =>
     new gateway.EscalationPolicy({
       now: () => options.clock.now(),
@@ -169,7 +169,7 @@
     }),
   picker: get =>
     new decisions.UpstreamPicker({
-      onRest: (upstream, restMs, signs) => {
+      onEject: (upstream, restMs, signs) => {
         const forMs = Math.round(restMs);
         get('log').trouble('upstream_rested', {upstream, forMs, ...signs});
       },
--- a/packages/amaranthknot/tests/gateway/fleet-report.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-report.test.ts
@@ -31,7 +31,7 @@
   const log = new telemetry.DecisionLog({instance: id, level: 'error', now});
   const members = new fleet.MemberTable(fixture.createMember(id));
   const picker = new decisions.UpstreamPicker({
-    onRest: () => undefined,
+    onEject: () => undefined,
     zone: 'a',
     now,
     random: fakes.createRandom(1),
@@ -79,8 +79,8 @@
 const NO_WORK = {
   promptTokens: 0,
   answerTokens: 0,
-  sharedTokens: 0,
-  sharedKey: undefined,
+  prefixTokens: 0,
+  prefixKey: undefined,
 };
 
 /** One instance reports to a watcher and is told of the fleet. */
--- a/packages/bench/src/benches/warm-up.ts
+++ b/packages/bench/src/benches/warm-up.ts
@@ -36,13 +36,13 @@
 
 /** Baseline: each sender warms the upstream up as if it were alone. */
 const warmAlone: coldUpstream.Allowance = (_sender, _view, ageMs) =>
-  decisions.findBearable(CURVE, ageMs);
+  decisions.findWarmUpSlots(CURVE, ageMs);
 
 /** Alternative without messages: whole slots for the first ranks only. */
 const shareByRank =
   (instances: number): coldUpstream.Allowance =>
   (sender, ranks, ageMs) => {
-    const bearable = decisions.findBearable(CURVE, ageMs);
+    const bearable = decisions.findWarmUpSlots(CURVE, ageMs);
     const rank = ranks.indexOf(sender.id);
     const rest = bearable % instances;
     const extra = rank >= 0 && rank < rest ? 1 : 0;
--- a/packages/bench/src/models/cold-upstream.ts
+++ b/packages/bench/src/models/cold-upstream.ts
@@ -191,8 +191,8 @@
   }
   issuer.issuer ??=
     nowMs <= coldSinceMs + timing.termMs && coldSinceMs === 0
-      ? decisions.createFirstIssuer(coldSinceMs)
-      : decisions.createWarmUpIssuer(coldSinceMs, nowMs, timing);
+      ? decisions.createInitialIssuer(coldSinceMs)
+      : decisions.createSuccessorIssuer(coldSinceMs, nowMs, timing);
   if (issuer.issuer.coldSinceMs !== coldSinceMs) {
     issuer.issuer = decisions.resetIssuer(issuer.issuer, coldSinceMs);
   }
@@ -237,7 +237,7 @@
     if (random() < TICK_MS / scenario.replaceEveryMs) {
       fleet.replaceOne(nowMs);
     }
-    const bearable = decisions.findBearable(curve, nowMs - coldSinceMs);
+    const bearable = decisions.findWarmUpSlots(curve, nowMs - coldSinceMs);
     let inFlight = 0;
     for (const sender of fleet.senders) {
       sender.work = sender.work.filter(work => work.endsAtMs > nowMs);
--- a/packages/bench/src/models/zone-service.ts
+++ b/packages/bench/src/models/zone-service.ts
@@ -98,7 +98,7 @@
 
 /** What an upstream bears now. */
 const findBound = (upstream: Upstream, nowMs: number): number =>
-  decisions.findBearable(CURVE, nowMs - upstream.coldSinceMs);
+  decisions.findWarmUpSlots(CURVE, nowMs - upstream.coldSinceMs);
 
 /** Whether an instance may send to an upstream of the returned zone. */
 const mayUse = (
@@ -124,7 +124,7 @@
   instance: Instance,
   nowMs: number,
 ): void => {
-  upstream.issuer ??= decisions.createFirstIssuer(upstream.coldSinceMs);
+  upstream.issuer ??= decisions.createInitialIssuer(upstream.coldSinceMs);
   const request = {
     instance: String(instance.index),
     wanted: SLOTS,
--- a/packages/decisions/src/admission-queue.ts
+++ b/packages/decisions/src/admission-queue.ts
@@ -88,7 +88,7 @@
     }
     const workspace = this.fairQueue.findWorkspace(request.workspace);
     const entry = this.createEntry(request, workspace, nowMs);
-    this.slots.see(request.priority, entry.serviceMs, nowMs);
+    this.slots.recordDemand(request.priority, entry.serviceMs, nowMs);
     const waitMs = this.fairQueue.estimateWaitMs(entry, workspace, nowMs);
     const reason = this.findRefusalReason(entry, workspace, waitMs, nowMs);
     if (reason) {
@@ -226,13 +226,13 @@
     this.fairQueue.push(entry, nowMs);
     this.waiting.set(entry.request.id, entry);
     this.expiries.push(entry);
-    this.standing.push(entry.request.priority, nowMs);
+    this.standing.add(entry.request.priority, nowMs);
   }
 
   private dequeue(entry: Entry): void {
     this.fairQueue.remove(entry);
     this.waiting.delete(entry.request.id);
-    this.standing.leave(entry.request.priority);
+    this.standing.remove(entry.request.priority);
     this.expiries.sweep(this.standing.count);
   }
 
@@ -258,7 +258,7 @@
     this.dequeue(entry);
     this.fairQueue.recordWait(entry, nowMs);
     this.fairQueue.charge(entry);
-    this.slots.take(request, serviceMs, nowMs);
+    this.slots.acquire(request, serviceMs, nowMs);
   }
 
   /** Time until all that waits now has been admitted. */
--- a/packages/decisions/src/directory-choice.ts
+++ b/packages/decisions/src/choose-addresses.ts
@@ -32,13 +32,13 @@
  * Instances that are named at least, as far as there are so many: some of them
  * may be lost at once, and a caller tries only those that it knows.
  */
-const LEAST_NAMED = 12;
+const MIN_ADDRESSES = 12;
 
 /**
  * Least part of its share of all cores that a zone's own instances must have
  * to take its callers alone; below it others help out.
  */
-const LEAST_SHARE = 0.75;
+const MIN_CORE_SHARE = 0.75;
 
 type Candidates = readonly DirectoryCandidate[];
 
@@ -51,37 +51,37 @@
   caller: DirectoryCaller,
   limit: number,
 ): readonly T[] => {
-  const near = candidates.filter(({region}) => region === caller.region);
-  const usable = near.length > 0 ? near : candidates;
+  const inRegion = candidates.filter(({region}) => region === caller.region);
+  const usable = inRegion.length > 0 ? inRegion : candidates;
   const own = usable.filter(({zone}) => zone === caller.zone);
   const others = usable.filter(({zone}) => zone !== caller.zone);
   if (own.length >= limit) {
-    return rank(caller.key, own).slice(0, limit);
+    return rankByCores(caller.key, own).slice(0, limit);
   }
   // All callers of a zone are named the same helpers, in answers of any
   // instance: their connections to these stay in use.
-  const helpers = rank(caller.zone ?? caller.key, others);
-  const count = countHelpers(own, helpers, findFairCores(usable));
-  return [...own, ...helpers.slice(0, count)].slice(0, limit);
+  const remote = rankByCores(caller.zone ?? caller.key, others);
+  const count = countRemote(own, remote, findMeanZoneCores(usable));
+  return [...own, ...remote.slice(0, count)].slice(0, limit);
 };
 
 /** Cores that the instances of each zone have on average. */
-const findFairCores = (candidates: Candidates): number => {
+const findMeanZoneCores = (candidates: Candidates): number => {
   const zones = new Set(candidates.map(({zone}) => zone));
   return sumCores(candidates) / Math.max(1, zones.size);
 };
 
-const countHelpers = (
+const countRemote = (
   own: Candidates,
-  helpers: Candidates,
-  fairCores: number,
+  remote: Candidates,
+  meanZoneCores: number,
 ): number => {
   const ownCores = sumCores(own);
-  const isAiling = ownCores < LEAST_SHARE * fairCores;
-  let count = Math.max(0, LEAST_NAMED - own.length);
-  let cores = ownCores + sumCores(helpers.slice(0, count));
-  while (isAiling && count < helpers.length && cores < fairCores) {
-    cores += helpers[count]?.cores ?? 0;
+  const isShortOfCores = ownCores < MIN_CORE_SHARE * meanZoneCores;
+  let count = Math.max(0, MIN_ADDRESSES - own.length);
+  let cores = ownCores + sumCores(remote.slice(0, count));
+  while (isShortOfCores && count < remote.length && cores < meanZoneCores) {
+    cores += remote[count]?.cores ?? 0;
     count++;
   }
   return count;
@@ -90,7 +90,7 @@
 const sumCores = (candidates: Candidates): number =>
   candidates.reduce((sum, {cores}) => sum + cores, 0);
 
-const rank = <T extends DirectoryCandidate>(
+const rankByCores = <T extends DirectoryCandidate>(
   key: string,
   candidates: readonly T[],
 ): readonly T[] => {
--- a/packages/decisions/src/cold-detector.ts
+++ b/packages/decisions/src/cold-detector.ts
@@ -9,7 +9,7 @@
  */
 
 /** What an instance sees of an upstream. */
-export type UpstreamSign =
+export type UpstreamObservation =
   | {readonly kind: 'answer'; readonly firstTokenMs: number}
   | {readonly kind: 'refusal'; readonly reason: 'cold' | 'full'}
   | {readonly kind: 'report'; readonly startedAtMs: number};
@@ -18,22 +18,22 @@
 export interface ColdDetector {
   readonly isCold: boolean;
   /** Usual time to the first token, while warm; undefined before any. */
-  readonly usualMs: number | undefined;
-  readonly slowInRow: number;
+  readonly typicalMs: number | undefined;
+  readonly consecutiveSlow: number;
   /** Start of the upstream's process, from its report. */
   readonly startedAtMs: number | undefined;
 }
 
 const SLOW_FACTOR = 4;
-const SLOW_IN_ROW = 3;
+const CONSECUTIVE_SLOW_LIMIT = 3;
 /** Weight of one answer in the usual time. */
 const WEIGHT = 0.05;
 
 /** An upstream not seen before counts as cold until it is known to be warm. */
 export const createColdDetector = (): ColdDetector => ({
   isCold: true,
-  usualMs: undefined,
-  slowInRow: 0,
+  typicalMs: undefined,
+  consecutiveSlow: 0,
   startedAtMs: undefined,
 });
 
@@ -41,42 +41,45 @@
 export const markWarm = (detector: ColdDetector): ColdDetector => ({
   ...detector,
   isCold: false,
-  slowInRow: 0,
+  consecutiveSlow: 0,
 });
 
-const seeAnswer = (
+const observeAnswer = (
   detector: ColdDetector,
   firstTokenMs: number,
 ): ColdDetector => {
-  const {usualMs} = detector;
-  if (usualMs === undefined) {
-    return {...detector, usualMs: firstTokenMs};
+  const {typicalMs} = detector;
+  if (typicalMs === undefined) {
+    return {...detector, typicalMs: firstTokenMs};
   }
-  if (firstTokenMs > SLOW_FACTOR * usualMs) {
-    const slowInRow = detector.slowInRow + 1;
-    const isCold = detector.isCold || slowInRow >= SLOW_IN_ROW;
-    return {...detector, slowInRow, isCold};
+  if (firstTokenMs > SLOW_FACTOR * typicalMs) {
+    const consecutiveSlow = detector.consecutiveSlow + 1;
+    const isCold = detector.isCold || consecutiveSlow >= CONSECUTIVE_SLOW_LIMIT;
+    return {...detector, consecutiveSlow, isCold};
   }
-  const moved = usualMs + WEIGHT * (firstTokenMs - usualMs);
-  return {...detector, usualMs: moved, slowInRow: 0};
+  const updatedMs = typicalMs + WEIGHT * (firstTokenMs - typicalMs);
+  return {...detector, typicalMs: updatedMs, consecutiveSlow: 0};
 };
 
 /** Takes in a sign; the caller sends nothing new while `isCold`. */
-export const seeSign = (
+export const observeUpstream = (
   detector: ColdDetector,
-  sign: UpstreamSign,
+  observation: UpstreamObservation,
 ): ColdDetector => {
-  switch (sign.kind) {
+  switch (observation.kind) {
     case 'answer':
-      return seeAnswer(detector, sign.firstTokenMs);
+      return observeAnswer(detector, observation.firstTokenMs);
     case 'refusal':
-      return sign.reason === 'cold' ? {...detector, isCold: true} : detector;
+      return observation.reason === 'cold'
+        ? {...detector, isCold: true}
+        : detector;
     case 'report': {
       const {startedAtMs} = detector;
-      const isNew = startedAtMs !== undefined && startedAtMs < sign.startedAtMs;
+      const isNew =
+        startedAtMs !== undefined && startedAtMs < observation.startedAtMs;
       return {
         ...detector,
-        startedAtMs: sign.startedAtMs,
+        startedAtMs: observation.startedAtMs,
         isCold: detector.isCold || isNew,
       };
     }
--- a/packages/decisions/src/cold-share.ts
+++ b/packages/decisions/src/cold-share.ts
@@ -8,7 +8,7 @@
  * need no message, so they hold also between instances that are cut off from
  * each other.
  */
-import * as shareOut from './share-out.js';
+import * as instanceShare from './instance-share.js';
 
 /** What a cold upstream bears, in requests a second from all instances. */
 export interface ColdLimit {
@@ -24,16 +24,16 @@
  * not yet known to the others, and requests that were held up on their way and
  * arrive together.
  */
-const SHARED_PART = 0.7;
+const SHARED_FRACTION = 0.7;
 
 /** Requests a second that an instance may send while it knows no others. */
-const NEWCOMER_SHARE = 1;
+const NEW_INSTANCE_RATE = 1;
 
 /**
  * Time after its start in which an instance does not know all others, in ms:
  * of many that start together each hears of the rest by way of a few.
  */
-const NEWCOMER_MS = 3_000;
+const NEW_INSTANCE_MS = 3_000;
 
 /**
  * Requests a second that one instance may send to a cold upstream; 0 for none.
@@ -53,7 +53,15 @@
   instances: readonly string[],
   uptimeMs: number,
 ): number => {
-  const total = (limit.perSecond * limit.overrun + limit.slack) * SHARED_PART;
-  const share = shareOut.shareOut(total, upstream, self, instances);
-  return uptimeMs < NEWCOMER_MS ? Math.min(share, NEWCOMER_SHARE) : share;
+  const total =
+    (limit.perSecond * limit.overrun + limit.slack) * SHARED_FRACTION;
+  const share = instanceShare.findInstanceShare(
+    total,
+    upstream,
+    self,
+    instances,
+  );
+  return uptimeMs < NEW_INSTANCE_MS
+    ? Math.min(share, NEW_INSTANCE_RATE)
+    : share;
 };
--- a/packages/decisions/src/demand-meter.ts
+++ b/packages/decisions/src/demand-meter.ts
@@ -6,7 +6,7 @@
 /** Exponentially decaying demand, in slots. */
 export class DemandMeter {
   private slots = 0;
-  private readMs = 0;
+  private updatedMs = 0;
 
   constructor(private readonly windowMs = DEFAULT_WINDOW_MS) {}
 
@@ -17,9 +17,9 @@
 
   /** Demand now. */
   read(nowMs: number): number {
-    if (nowMs > this.readMs) {
-      this.slots *= Math.exp((this.readMs - nowMs) / this.windowMs);
-      this.readMs = nowMs;
+    if (nowMs > this.updatedMs) {
+      this.slots *= Math.exp((this.updatedMs - nowMs) / this.windowMs);
+      this.updatedMs = nowMs;
     }
     return this.slots;
   }
--- a/packages/decisions/src/engine-tiers.ts
+++ b/packages/decisions/src/engine-tiers.ts
@@ -7,7 +7,7 @@
  * beginnings. Harm prevented: cheap answers that wait behind capable ones, and
  * shared beginnings read again by every engine.
  */
-import type * as pickWork from './pick-work.js';
+import type * as pickRequest from './pick-request.js';
 import * as rendezvous from './rendezvous.js';
 
 /**
@@ -15,33 +15,33 @@
  * prompts first, at a tenth of the capable model's time for each token, and
  * make tokens up to twice as slowly where a capable model reads beside them.
  */
-const CHEAP_PART = 0.3;
+const CHEAP_FRACTION = 0.3;
 
 /** Names the ranking that sets engines apart; any fixed text does. */
 const TIER_KEY = 'tier';
 
 /** Engines by whether they are set apart for the tier of a try. */
 export interface EngineTiers {
-  readonly own: readonly pickWork.PickCandidate[];
-  readonly other: readonly pickWork.PickCandidate[];
+  readonly own: readonly pickRequest.PickCandidate[];
+  readonly other: readonly pickRequest.PickCandidate[];
 }
 
 /** Engines that are set apart for a tier, the same on all instances. */
 export const splitByTier = (
-  candidates: readonly pickWork.PickCandidate[],
-  tier: pickWork.PickWork['tier'],
+  candidates: readonly pickRequest.PickCandidate[],
+  tier: pickRequest.PickRequest['tier'],
 ): EngineTiers => {
   const {length} = candidates;
   if (length < 2 || tier === undefined) {
     return {own: candidates, other: []};
   }
-  const count = Math.max(1, Math.round(CHEAP_PART * length));
+  const count = Math.max(1, Math.round(CHEAP_FRACTION * length));
   const cheap = rendezvous.rankByRendezvous(
     TIER_KEY,
     candidates.map(({id}) => id),
     count,
   );
-  const isOwn = ({id}: pickWork.PickCandidate) =>
+  const isOwn = ({id}: pickRequest.PickCandidate) =>
     cheap.includes(id) === (tier === 'cheap');
   return {
     own: candidates.filter(isOwn),
@@ -50,14 +50,14 @@
 };
 
 /** The upstream to which all instances send a shared beginning. */
-export const findHome = (
-  candidates: readonly pickWork.PickCandidate[],
-  sharedKey: string | undefined,
+export const findPrefixHome = (
+  candidates: readonly pickRequest.PickCandidate[],
+  prefixKey: string | undefined,
 ): string | undefined =>
-  sharedKey === undefined
+  prefixKey === undefined
     ? undefined
     : rendezvous.rankByRendezvous(
-        sharedKey,
+        prefixKey,
         candidates.map(({id}) => id),
         1,
       )[0];
--- a/packages/decisions/src/fair-queue.ts
+++ b/packages/decisions/src/fair-queue.ts
@@ -132,7 +132,7 @@
   /** The request to run next: that of the workspace furthest behind. */
   chooseNext(nowMs: number): Entry | undefined {
     const open = workspaceQueue.ADMISSION_PRIORITIES.filter(priority =>
-      this.slots.isOpen(priority, nowMs),
+      this.slots.hasFreeSlot(priority, nowMs),
     );
     const longestServiceMs = this.slots.longestServiceMs;
     let best: Entry | undefined;
@@ -187,7 +187,7 @@
   estimateWaitMs(entry: Entry, workspace: Workspace, nowMs: number): number {
     const {request} = entry;
     const isBelowLimit = workspace.inFlight < request.maxConcurrent;
-    const hasSlot = this.slots.isOpen(request.priority, nowMs);
+    const hasSlot = this.slots.hasFreeSlot(request.priority, nowMs);
     const ownAhead = workspace.serviceAheadOf(entry);
     if (hasSlot && isBelowLimit && ownAhead === 0) {
       return 0;
--- a/packages/decisions/src/hash-ring.ts
+++ b/packages/decisions/src/hash-ring.ts
@@ -6,7 +6,7 @@
 import * as rendezvous from './rendezvous.js';
 
 /** Looks for each key; 8 keep the largest share under twice the mean. */
-const PROBES = 8;
+const PROBES_PER_KEY = 8;
 
 const RING_SIZE = 2 ** 32;
 
@@ -41,7 +41,7 @@
     const hash = rendezvous.hashText(key);
     const found: number[] = [];
     const distances: number[] = [];
-    for (let probe = 1; probe <= PROBES; probe++) {
+    for (let probe = 1; probe <= PROBES_PER_KEY; probe++) {
       const point = rendezvous.mixHashes(hash, probe);
       const position = this.search(point) % this.points.length;
       const distance = (this.points[position] ?? 0) - point;
--- a/packages/decisions/src/hot-keys.ts
+++ b/packages/decisions/src/hot-keys.ts
@@ -4,7 +4,7 @@
 const MAX_KEYS = 64;
 
 /** Requests after which all counts are halved, so that shares stay recent. */
-const HALVING = 1024;
+const HALVING_INTERVAL = 1024;
 
 /** Frequent keys by the Misra-Gries summary, with decay. */
 export class HotKeys {
@@ -14,7 +14,7 @@
   /** Counts a key; returns its share of recent requests, 0 to 1, or less. */
   record(key: string): number {
     this.total++;
-    if (this.total >= HALVING) {
+    if (this.total >= HALVING_INTERVAL) {
       this.scale(0.5, 0);
       this.total /= 2;
     }
--- a/packages/decisions/src/share-out.ts
+++ b/packages/decisions/src/instance-share.ts
@@ -12,7 +12,7 @@
  *     fewer requests than instances.
  * @param instances all instances that may send, this one included.
  */
-export const shareOut = (
+export const findInstanceShare = (
   total: number,
   key: string,
   self: string,
--- a/packages/decisions/src/latency-book.ts
+++ b/packages/decisions/src/latency-estimates.ts
@@ -16,28 +16,28 @@
 const FIRST_TOKEN_FACTOR = 5;
 
 /** Parts of the latency target between which the wait lies. */
-const HEDGE_RANGE = {least: 0.3, most: 0.6};
-const FIRST_TOKEN_RANGE = {least: 0.55, most: 0.85};
+const HEDGE_RANGE = {min: 0.3, max: 0.6};
+const FIRST_TOKEN_RANGE = {min: 0.55, max: 0.85};
 
 /** Part of the longest pause after which a silent stream is taken elsewhere. */
-const PAUSE_PART = 1;
+const STALL_FRACTION = 1;
 
 /**
  * Part of a pause, or of the wait for a first token, after which it is asked
  * whether the upstream can still be reached. What is left is enough to go on
  * elsewhere without a pause that is too long.
  */
-const PROBE_PART = 0.3;
+const PROBE_FRACTION = 0.3;
 
-const clamp = (value: number, least: number, most: number): number =>
-  Math.min(most, Math.max(least, value));
+const clamp = (value: number, min: number, max: number): number =>
+  Math.min(max, Math.max(min, value));
 
 /** Latencies seen by one instance. */
-export class LatencyBook {
+export class LatencyEstimates {
   private readonly byKind = new Map<string, movingEstimate.MovingEstimate>();
 
   /** Notes a latency, in milliseconds, of a kind of work. */
-  note(kind: string, latencyMs: number): void {
+  record(kind: string, latencyMs: number): void {
     const estimate =
       this.byKind.get(kind) ?? new movingEstimate.MovingEstimate();
     this.byKind.set(kind, estimate);
@@ -45,31 +45,40 @@
   }
 
   /** Wait for a plain answer until another upstream is tried, in ms. */
-  hedgeAfterMs(kind: string, targetMs: number): number {
-    return this.wait(kind, targetMs, HEDGE_FACTOR, HEDGE_RANGE);
+  hedgeDelayMs(kind: string, targetMs: number): number {
+    return this.findDelayMs(kind, targetMs, HEDGE_FACTOR, HEDGE_RANGE);
   }
 
   /** Wait for a first token until another upstream is tried, in ms. */
-  firstTokenMs(kind: string, targetMs: number): number {
-    return this.wait(kind, targetMs, FIRST_TOKEN_FACTOR, FIRST_TOKEN_RANGE);
+  firstTokenTimeoutMs(kind: string, targetMs: number): number {
+    return this.findDelayMs(
+      kind,
+      targetMs,
+      FIRST_TOKEN_FACTOR,
+      FIRST_TOKEN_RANGE,
+    );
   }
 
-  private wait(
+  private findDelayMs(
     kind: string,
     targetMs: number,
     factor: number,
-    range: {readonly least: number; readonly most: number},
+    range: {readonly min: number; readonly max: number},
   ): number {
     const estimate = this.byKind.get(kind);
-    const usual = estimate ? estimate.mean + estimate.deviation : 0;
-    return clamp(factor * usual, range.least * targetMs, range.most * targetMs);
+    const typicalMs = estimate ? estimate.mean + estimate.deviation : 0;
+    return clamp(
+      factor * typicalMs,
+      range.min * targetMs,
+      range.max * targetMs,
+    );
   }
 }
 
 /** Silence after which an upstream is probed, in ms. */
-export const findProbeMs = (longestMs: number): number =>
-  PROBE_PART * longestMs;
+export const findProbeDelayMs = (timeoutMs: number): number =>
+  PROBE_FRACTION * timeoutMs;
 
 /** Silence after which a stream is taken to another upstream, in ms. */
-export const findStallMs = (pauseTargetMs: number): number =>
-  PAUSE_PART * pauseTargetMs;
+export const findStallTimeoutMs = (pauseTargetMs: number): number =>
+  STALL_FRACTION * pauseTargetMs;
--- a/packages/decisions/src/usual-latency.ts
+++ b/packages/decisions/src/median-latencies.ts
@@ -12,18 +12,18 @@
 const MAX_SAMPLES = 48;
 
 /** Samples of a kind from which its median tells something. */
-const LEAST_SAMPLES = 4;
+const MIN_SAMPLES = 4;
 
 /** Kinds remembered; the one unused for longest is forgotten first. */
 const MAX_KINDS = 256;
 
 /** Medians of one instance. */
-export class UsualLatency {
+export class MedianLatencies {
   /** Latest samples by kind, in milliseconds, oldest first. */
   private readonly byKind = new Map<string, number[]>();
 
   /** Notes a latency, in milliseconds, of a kind of work. */
-  note(kind: string, latencyMs: number): void {
+  record(kind: string, latencyMs: number): void {
     const samples = this.byKind.get(kind) ?? [];
     samples.push(latencyMs);
     if (samples.length > MAX_SAMPLES) {
@@ -31,20 +31,20 @@
     }
     this.byKind.delete(kind);
     this.byKind.set(kind, samples);
-    this.forgetOldest();
+    this.evictOldest();
   }
 
   /** Median of a kind in milliseconds; undefined while too few are known. */
   medianMs(kind: string): number | undefined {
     const samples = this.byKind.get(kind) ?? [];
-    if (samples.length < LEAST_SAMPLES) {
+    if (samples.length < MIN_SAMPLES) {
       return undefined;
     }
     const sorted = [...samples].sort((a, b) => a - b);
     return sorted[Math.floor(sorted.length / 2)];
   }
 
-  private forgetOldest(): void {
+  private evictOldest(): void {
     if (this.byKind.size > MAX_KINDS) {
       const [oldest] = this.byKind.keys();
       this.byKind.delete(oldest ?? '');
--- a/packages/decisions/src/moving-estimate.ts
+++ b/packages/decisions/src/moving-estimate.ts
@@ -23,11 +23,11 @@
     return this.count > 0;
   }
 
-  /** @param leastGain share of the sample when past ones are out of date. */
-  add(sample: number, leastGain = GAIN): void {
+  /** @param minGain share of the sample when past ones are out of date. */
+  add(sample: number, minGain = GAIN): void {
     this.count++;
     // The first samples weigh equally, so that one odd start is soon forgotten.
-    const gain = Math.max(GAIN, leastGain, 1 / this.count);
+    const gain = Math.max(GAIN, minGain, 1 / this.count);
     const error = sample - this.meanValue;
     this.meanValue += gain * error;
     if (this.count > 1) {
--- a/packages/decisions/src/placement-pool.ts
+++ b/packages/decisions/src/placement-pool.ts
@@ -8,11 +8,11 @@
 type Load = upstreamLoad.UpstreamLoad;
 
 /** Values that one choice computes once. */
-export interface PoolView {
+export interface PlacementContext {
   /** Requests of all entry instances for each own one. */
-  readonly scale: number;
+  readonly loadScale: number;
   /** Latency that is usual for the target, in milliseconds. */
-  readonly usualMs: number;
+  readonly medianLatencyMs: number;
   readonly nowMs: number;
 }
 
@@ -33,7 +33,7 @@
 const HOT_SHARE = 0.5;
 
 /** Homes of a hot key over those its requests fill. */
-const HOME_SPREAD = 1.5;
+const HOME_SPREAD_FACTOR = 1.5;
 
 /** Time for which values over all watched upstreams are kept. */
 const REFRESH_MS = 200;
@@ -46,9 +46,9 @@
  * a batch latency grows less than load does; without the square an idle
  * upstream that is 10 times slower looks as good as one with 10 requests.
  */
-export const costOf = (load: Load, view: PoolView): number => {
-  const used = load.expectedLoad(view.scale, view.nowMs) + 1;
-  const slowness = load.slowness(view.usualMs, view.nowMs);
+export const costOf = (load: Load, context: PlacementContext): number => {
+  const used = load.expectedLoad(context.loadScale, context.nowMs) + 1;
+  const slowness = load.slowness(context.medianLatencyMs, context.nowMs);
   const penalty = slowness <= TOLERATED_SLOWNESS ? 1 : slowness ** 2;
   return (used / load.slots) * penalty;
 };
@@ -99,15 +99,15 @@
    */
   homeCount(key: string): number {
     const filled = this.keys.record(key) * this.members.length;
-    return filled < HOT_SHARE ? 1 : Math.ceil(filled * HOME_SPREAD);
+    return filled < HOT_SHARE ? 1 : Math.ceil(filled * HOME_SPREAD_FACTOR);
   }
 
   /** Mean share of slots in use, as far as the subset shows. */
-  meanUtilization(view: PoolView): number {
+  meanUtilization(context: PlacementContext): number {
     let load = 0;
     let slots = 0;
     for (const member of this.subset) {
-      load += member.expectedLoad(view.scale, view.nowMs);
+      load += member.expectedLoad(context.loadScale, context.nowMs);
       slots += member.slots;
     }
     return load / Math.max(1, slots);
@@ -161,7 +161,7 @@
 /** Upstreams of one target, the instance's own zone first. */
 export class PlacementTarget {
   private readonly scale = new movingEstimate.MovingEstimate();
-  private refreshMs = -Infinity;
+  private refreshedAtMs = -Infinity;
   private latencyMs = INITIAL_LATENCY_MS;
   private readonly watched: readonly Load[];
   private readonly scratch: Float64Array;
@@ -172,7 +172,7 @@
   }
 
   /** Latency that is usual: the median over upstreams that answered. */
-  get usualLatencyMs(): number {
+  get medianLatencyMs(): number {
     return this.latencyMs;
   }
 
@@ -181,8 +181,8 @@
    * no instance has to know how many others there are.
    */
   loadScale(nowMs: number): number {
-    if (nowMs - this.refreshMs >= REFRESH_MS) {
-      this.refreshMs = nowMs;
+    if (nowMs - this.refreshedAtMs >= REFRESH_MS) {
+      this.refreshedAtMs = nowMs;
       this.refresh(nowMs);
     }
     return this.scale.hasSamples ? Math.max(1, this.scale.mean) : 1;
@@ -218,7 +218,7 @@
 const REMOTE_SUBSET = 3;
 
 /** Up to this many times the subset, a target's upstreams are all watched. */
-const WATCH_ALL = 2;
+const WATCH_ALL_FACTOR = 2;
 
 /** Upstreams watched in a zone, the own zone being at rank 0. */
 const subsetSizeAt = (
@@ -226,7 +226,7 @@
   members: number,
   options: TargetOptions,
 ): number => {
-  if (rank === 0 || members <= WATCH_ALL * options.subsetSize) {
+  if (rank === 0 || members <= WATCH_ALL_FACTOR * options.subsetSize) {
     return options.subsetSize;
   }
   return rank <= REMOTE_ZONES ? REMOTE_SUBSET : 0;
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -114,7 +114,7 @@
     const byTarget = new Map<string, Load[]>();
     for (const candidate of candidates) {
       present.add(candidate.id);
-      const load = this.keepLoad(candidate);
+      const load = this.ensureLoad(candidate);
       for (const target of candidate.serves) {
         const members = byTarget.get(target) ?? [];
         members.push(load);
@@ -146,18 +146,22 @@
     if (!target) {
       return {kind: 'unplaced', reason: 'unknown_target'};
     }
-    const scale = target.loadScale(nowMs);
-    const usualMs = target.usualLatencyMs;
-    const view: placementPool.PoolView = {scale, usualMs, nowMs};
+    const loadScale = target.loadScale(nowMs);
+    const medianLatencyMs = target.medianLatencyMs;
+    const context: placementPool.PlacementContext = {
+      loadScale,
+      medianLatencyMs,
+      nowMs,
+    };
     const [local, ...others] = target.pools.filter(
       pool => request.excludedZones?.has(pool.zone) !== true,
     );
-    const affine = local && this.chooseAffine(local, request, view);
+    const affine = local && this.chooseAffine(local, request, context);
     if (affine) {
       return this.place(affine, 'affinity');
     }
-    const best = local && this.sample(local, request, view);
-    const spill = this.chooseSpill(best, others, request, view);
+    const best = local && this.sample(local, request, context);
+    const spill = this.chooseSpill(best, others, request, context);
     if (spill) {
       const isLocal = spill.zone === this.options.zone;
       return this.place(spill, isLocal ? 'sampled' : 'spill_over');
@@ -175,11 +179,11 @@
   /** Notes the end of a request; see `UpstreamLoad.finish` for latency. */
   finish(
     upstreamId: string,
-    answer: upstreamLoad.UpstreamAnswer,
+    outcome: upstreamLoad.UpstreamOutcome,
     latencyMs: number,
     nowMs: number,
   ): void {
-    this.loads.get(upstreamId)?.finish(answer, latencyMs, nowMs);
+    this.loads.get(upstreamId)?.finish(outcome, latencyMs, nowMs);
   }
 
   /** Takes in a report of an upstream's load, measured at `measuredMs`. */
@@ -192,7 +196,7 @@
     return this.loads.get(upstreamId);
   }
 
-  private keepLoad(candidate: PlacementCandidate): Load {
+  private ensureLoad(candidate: PlacementCandidate): Load {
     const {id, zone, slots} = candidate;
     const known = this.loads.get(id);
     if (known?.zone === zone) {
@@ -227,21 +231,23 @@
   private chooseAffine(
     pool: placementPool.PlacementPool,
     request: PlacementRequest,
-    view: placementPool.PoolView,
+    context: placementPool.PlacementContext,
   ): Load | undefined {
     if (request.affinityKey === undefined) {
       return undefined;
     }
-    const bound = AFFINITY_BOUND * (pool.meanUtilization(view) + pool.step);
+    const bound = AFFINITY_BOUND * (pool.meanUtilization(context) + pool.step);
     const ranked = pool.ranked(request.affinityKey);
     const homes = pool.homeCount(request.affinityKey);
     const hasRoom = (load: Load): boolean =>
-      load.expectedLoad(view.scale, view.nowMs) <= bound * load.slots &&
-      load.slowness(view.usualMs, view.nowMs) <= AFFINITY_SLOWNESS &&
+      load.expectedLoad(context.loadScale, context.nowMs) <=
+        bound * load.slots &&
+      load.slowness(context.medianLatencyMs, context.nowMs) <=
+        AFFINITY_SLOWNESS &&
       isAccepted(load, request);
     if (homes > 1) {
       const open = ranked.slice(0, homes).filter(hasRoom);
-      return findCheapest(open, view) ?? ranked.slice(homes).find(hasRoom);
+      return findCheapest(open, context) ?? ranked.slice(homes).find(hasRoom);
     }
     return ranked.find(hasRoom);
   }
@@ -250,32 +256,33 @@
   private sample(
     pool: placementPool.PlacementPool,
     request: PlacementRequest,
-    view: placementPool.PoolView,
+    context: placementPool.PlacementContext,
   ): Load | undefined {
     const accepts = (load: Load) => isAccepted(load, request);
     const drawn = pool.draw(this.samples, this.options.random, accepts);
-    return findCheapest(drawn, view, TOLERANCE);
+    return findCheapest(drawn, context, TOLERANCE);
   }
 
   private chooseSpill(
     local: Load | undefined,
     others: readonly placementPool.PlacementPool[],
     request: PlacementRequest,
-    view: placementPool.PoolView,
+    context: placementPool.PlacementContext,
   ): Load | undefined {
     const used = local
-      ? local.expectedLoad(view.scale, view.nowMs) / local.slots
+      ? local.expectedLoad(context.loadScale, context.nowMs) / local.slots
       : Infinity;
-    const slowness = local?.slowness(view.usualMs, view.nowMs) ?? Infinity;
+    const slowness =
+      local?.slowness(context.medianLatencyMs, context.nowMs) ?? Infinity;
     if (used < SPILL_UTILIZATION && slowness < AFFINITY_SLOWNESS) {
       return undefined;
     }
-    const limit = local ? placementPool.costOf(local, view) : Infinity;
+    const limit = local ? placementPool.costOf(local, context) : Infinity;
     const start = Math.floor(this.options.random() * others.length);
     for (let i = 0; i < others.length; i++) {
       const pool = others[(start + i) % others.length];
-      const found = pool && this.sample(pool, request, view);
-      const cost = found ? placementPool.costOf(found, view) : Infinity;
+      const found = pool && this.sample(pool, request, context);
+      const cost = found ? placementPool.costOf(found, context) : Infinity;
       if (found && cost < SPILL_ADVANTAGE * limit) {
         return found;
       }
@@ -289,13 +296,13 @@
 
 const findCheapest = (
   loads: readonly Load[],
-  view: placementPool.PoolView,
+  context: placementPool.PlacementContext,
   tolerance = 0,
 ): Load | undefined => {
   let best: Load | undefined;
   let bestCost = Infinity;
   for (const load of loads) {
-    const cost = placementPool.costOf(load, view);
+    const cost = placementPool.costOf(load, context);
     if (cost < bestCost * (1 - tolerance)) {
       best = load;
       bestCost = cost;
--- a/packages/decisions/src/reading-backlog.ts
+++ b/packages/decisions/src/prefill-backlog.ts
@@ -10,14 +10,14 @@
  */
 
 /** Prompts below this many weighted tokens tell little about reading. */
-const LEAST_TOKENS = 1_000;
+const MIN_TOKENS = 1_000;
 
 /**
  * Weight of a sample that is slower than what is known. Waits only add to the
  * time that reading takes, so the fastest lately seen is what engines can do;
  * it fades in case they have turned slow.
  */
-const FADING = 0.02;
+const SLOWER_SAMPLE_WEIGHT = 0.02;
 
 /**
  * Time in which half of what was learned fades while no prompt is read, in ms.
@@ -29,23 +29,23 @@
 const HALF_LIFE_MS = 4_000;
 
 /** Part of a latency target that the backlog may take at price. */
-const FREE_PART = 0.4;
+const FREE_FRACTION = 0.4;
 
 /** Learns how fast one service's engines read. */
-export class ReadingBacklog {
+export class PrefillBacklog {
   private msPerToken: number | undefined;
-  private lastMs = 0;
+  private lastSampleMs = 0;
 
   /** Notes a first token that took `waitMs` after so many weighted tokens. */
-  note(tokens: number, waitMs: number, nowMs: number): void {
-    if (tokens < LEAST_TOKENS) {
+  record(tokens: number, waitMs: number, nowMs: number): void {
+    if (tokens < MIN_TOKENS) {
       return;
     }
     const sample = waitMs / tokens;
-    const known = this.speedAt(nowMs) ?? sample;
-    this.lastMs = nowMs;
+    const known = this.msPerTokenAt(nowMs) ?? sample;
+    this.lastSampleMs = nowMs;
     this.msPerToken =
-      sample < known ? sample : known + FADING * (sample - known);
+      sample < known ? sample : known + SLOWER_SAMPLE_WEIGHT * (sample - known);
   }
 
   /**
@@ -55,17 +55,17 @@
    * @param waitingTokens weighted tokens that wait at all engines together.
    */
   waitMs(waitingTokens: number, engines: number, nowMs: number): number {
-    const msPerToken = this.speedAt(nowMs) ?? 0;
+    const msPerToken = this.msPerTokenAt(nowMs) ?? 0;
     return (msPerToken * waitingTokens) / Math.max(1, engines);
   }
 
   /** Time that a token takes to be read, in ms, as far as it is known. */
-  private speedAt(nowMs: number): number | undefined {
-    const idleMs = Math.max(0, nowMs - this.lastMs);
+  private msPerTokenAt(nowMs: number): number | undefined {
+    const idleMs = Math.max(0, nowMs - this.lastSampleMs);
     return this.msPerToken && this.msPerToken * 2 ** (-idleMs / HALF_LIFE_MS);
   }
 }
 
 /** How dear the capable model is while prompts wait that long; 1 at price. */
 export const scarcityOfBacklog = (waitMs: number, targetMs: number): number =>
-  Math.max(1, (waitMs / (FREE_PART * targetMs)) ** 2);
+  Math.max(1, (waitMs / (FREE_FRACTION * targetMs)) ** 2);
--- a/packages/decisions/src/reading-order.ts
+++ b/packages/decisions/src/prefill-priority.ts
@@ -9,13 +9,13 @@
  */
 
 /** Longest prompt of the first rank, in tokens; each next one takes twice. */
-const FIRST_RANK_TOKENS = 350;
+const HIGHEST_PRIORITY_TOKENS = 350;
 
 /** Ranks that an engine tells apart; 0 comes first. */
-export const LAST_RANK = 9;
+export const LOWEST_PREFILL_PRIORITY = 9;
 
 /** Rank of a prompt among those that wait at its engine. */
-export const rankByReading = (promptTokens: number): number => {
-  const doublings = Math.log2(promptTokens / FIRST_RANK_TOKENS);
-  return Math.min(LAST_RANK, Math.max(0, Math.ceil(doublings)));
+export const findPrefillPriority = (promptTokens: number): number => {
+  const doublings = Math.log2(promptTokens / HIGHEST_PRIORITY_TOKENS);
+  return Math.min(LOWEST_PREFILL_PRIORITY, Math.max(0, Math.ceil(doublings)));
 };
--- a/packages/decisions/src/rate-limits.ts
+++ b/packages/decisions/src/rate-limits.ts
@@ -9,7 +9,7 @@
  * instance to instance with its age, so that those keep it that the upstream
  * has not told, and all know when it is lifted. Pure: time is an argument.
  */
-import * as shareOut from './share-out.js';
+import * as instanceShare from './instance-share.js';
 import * as slidingCount from './sliding-count.js';
 
 /** Settings of the limits. */
@@ -204,7 +204,12 @@
     }
     const {self, findInstances} = this.options;
     const total = Math.max(1, (perSecond * WINDOW_MS) / MS_PER_S);
-    const requests = shareOut.shareOut(total, id, self, findInstances());
+    const requests = instanceShare.findInstanceShare(
+      total,
+      id,
+      self,
+      findInstances(),
+    );
     const share = {atMs: now, perSecond, requests};
     this.shares.set(id, share);
     return share;
--- a/packages/decisions/src/rendezvous.ts
+++ b/packages/decisions/src/rendezvous.ts
@@ -4,7 +4,7 @@
  */
 import * as murmurhash from 'murmurhash';
 
-interface Ranked {
+interface RankedId {
   readonly id: string;
   readonly weight: number;
 }
@@ -23,7 +23,7 @@
   return mixed >>> 0;
 };
 
-const compare = (a: Ranked, b: Ranked): number =>
+const compareByWeight = (a: RankedId, b: RankedId): number =>
   b.weight - a.weight || (a.id < b.id ? -1 : a.id > b.id ? 1 : 0);
 
 /**
@@ -41,12 +41,12 @@
     id,
     weight: mixHashes(keyHash, hashText(id)),
   }));
-  ranked.sort(compare);
+  ranked.sort(compareByWeight);
   return ranked.slice(0, count).map(entry => entry.id);
 };
 
 /** An identity with its weight among others, above 0. */
-export interface Weighted {
+export interface WeightedId {
   readonly id: string;
   readonly weight: number;
 }
@@ -60,13 +60,13 @@
  */
 export const rankByWeight = (
   key: string,
-  items: readonly Weighted[],
+  items: readonly WeightedId[],
 ): readonly string[] => {
   const keyHash = hashText(key);
   const ranked = items.map(({id, weight}) => {
     const share = (mixHashes(keyHash, hashText(id)) + 1) / (HASH_RANGE + 1);
     return {id, weight: -weight / Math.log(share)};
   });
-  ranked.sort(compare);
+  ranked.sort(compareByWeight);
   return ranked.map(({id}) => id);
 };
--- a/packages/decisions/src/scarcity-meter.ts
+++ b/packages/decisions/src/scarcity-meter.ts
@@ -9,7 +9,7 @@
  */
 
 /** Part of the latency target that a first token may take at price. */
-const FREE_PART = 0.6;
+const FREE_FRACTION = 0.6;
 
 /** Weight of one wait; some ten of them tell. */
 const GAIN = 0.15;
@@ -21,33 +21,34 @@
 const HALF_LIFE_MS = 4_000;
 
 /** Highest value; beyond it nothing is worth the capable model any more. */
-const MOST = 30;
+const MAX_SCARCITY = 30;
 
 /** Learns from the waits of one instance. */
 export class ScarcityMeter {
   /** Waits against what they may take, averaged. */
   private pressure = 0;
-  private lastMs = 0;
+  private decayedAtMs = 0;
 
   /**
    * Notes how long a capable model's first token took, or how long it was
    * waited for in vain.
    */
-  note(waitMs: number, targetMs: number, nowMs: number): void {
-    const before = this.fade(nowMs);
-    this.pressure = before + GAIN * (waitMs / (FREE_PART * targetMs) - before);
+  record(waitMs: number, targetMs: number, nowMs: number): void {
+    const before = this.decay(nowMs);
+    this.pressure =
+      before + GAIN * (waitMs / (FREE_FRACTION * targetMs) - before);
   }
 
   /** 1 while waits are short; grows with the square of their excess. */
   value(nowMs: number): number {
-    const pressure = this.fade(nowMs);
-    return Math.min(MOST, Math.max(1, pressure * pressure));
+    const pressure = this.decay(nowMs);
+    return Math.min(MAX_SCARCITY, Math.max(1, pressure * pressure));
   }
 
-  private fade(nowMs: number): number {
-    const gone = Math.max(0, nowMs - this.lastMs);
-    this.pressure *= 2 ** (-gone / HALF_LIFE_MS);
-    this.lastMs = nowMs;
+  private decay(nowMs: number): number {
+    const elapsedMs = Math.max(0, nowMs - this.decayedAtMs);
+    this.pressure *= 2 ** (-elapsedMs / HALF_LIFE_MS);
+    this.decayedAtMs = nowMs;
     return this.pressure;
   }
 }
--- a/packages/decisions/src/slot-pool.ts
+++ b/packages/decisions/src/slot-pool.ts
@@ -15,8 +15,8 @@
 
 /** Least and largest share of slots kept from a priority. */
 interface Reserve {
-  readonly least: number;
-  readonly most: number;
+  readonly min: number;
+  readonly max: number;
 }
 
 /**
@@ -27,9 +27,9 @@
  * urgent work is not starved.
  */
 const RESERVE: Readonly<Record<Priority, Reserve>> = {
-  door_check: {least: 0, most: 0},
-  interactive: {least: 1 / 12, most: 1 / 4},
-  batch: {least: 1 / 4, most: 3 / 4},
+  door_check: {min: 0, max: 0},
+  interactive: {min: 1 / 12, max: 1 / 4},
+  batch: {min: 1 / 4, max: 3 / 4},
 };
 
 /**
@@ -48,7 +48,7 @@
 const DEMAND_WINDOW_MS = 10_000;
 
 /** Demand in slots below which a priority counts as unused. */
-const LEAST_DEMAND = 0.01;
+const MIN_DEMAND = 0.01;
 
 /** Service time assumed before the first measurement. */
 const INITIAL_SERVICE_MS = 500;
@@ -111,11 +111,11 @@
   }
 
   /** Notes a request that asks for a slot, for the reserves. */
-  see(priority: Priority, serviceMs: number, nowMs: number): void {
+  recordDemand(priority: Priority, serviceMs: number, nowMs: number): void {
     this.demand[priority].add(serviceMs, nowMs);
   }
 
-  take(
+  acquire(
     request: workspaceQueue.AdmissionRequest,
     chargedMs: number,
     nowMs: number,
@@ -143,7 +143,7 @@
   }
 
   /** Whether a slot is free for a priority, given the reserves. */
-  isOpen(priority: Priority, nowMs: number): boolean {
+  hasFreeSlot(priority: Priority, nowMs: number): boolean {
     const free = this.capacity - this.running.size;
     let urgentRunning = 0;
     let urgentDemand = 0;
@@ -157,17 +157,17 @@
       urgentDemand += demand;
       wanted += demand + STAFFING[other] * Math.sqrt(demand);
     }
-    if (urgentDemand < LEAST_DEMAND) {
+    if (urgentDemand < MIN_DEMAND) {
       return free > 0;
     }
-    const kept = this.keptFrom(priority, wanted);
-    return free - Math.max(0, kept - urgentRunning) > 0;
+    const reserved = this.reservedFrom(priority, wanted);
+    return free - Math.max(0, reserved - urgentRunning) > 0;
   }
 
-  private keptFrom(priority: Priority, wanted: number): number {
-    const {least, most} = RESERVE[priority];
-    const floor = Math.ceil(least * this.capacity);
-    const ceiling = Math.floor(most * this.capacity);
+  private reservedFrom(priority: Priority, wanted: number): number {
+    const {min, max} = RESERVE[priority];
+    const floor = Math.ceil(min * this.capacity);
+    const ceiling = Math.floor(max * this.capacity);
     // One slot always stays open, or small capacities would starve the rest.
     const bound = Math.min(Math.max(floor, ceiling), this.capacity - 1);
     return Math.min(Math.max(floor, Math.ceil(wanted)), bound);
@@ -179,7 +179,10 @@
    */
   stallFactor(nowMs: number): number {
     const gapMs = this.meanServiceMs / Math.max(1, this.capacity);
-    const quietMs = nowMs - this.lastReleaseMs;
-    return Math.max(1, quietMs / (STALL_GAPS * gapMs + this.meanServiceMs));
+    const sinceReleaseMs = nowMs - this.lastReleaseMs;
+    return Math.max(
+      1,
+      sinceReleaseMs / (STALL_GAPS * gapMs + this.meanServiceMs),
+    );
   }
 }
--- a/packages/decisions/src/standing-queue.ts
+++ b/packages/decisions/src/standing-queue.ts
@@ -7,15 +7,15 @@
   /** Waiting requests of this priority and of more urgent ones. */
   count: number;
   /** When that count was last zero. */
-  emptyMs: number;
+  lastEmptyMs: number;
 }
 
 /** Tells a standing queue from a burst, for each priority. */
 export class StandingQueue {
   private readonly levels: Readonly<Record<Priority, Level>> = {
-    door_check: {count: 0, emptyMs: 0},
-    interactive: {count: 0, emptyMs: 0},
-    batch: {count: 0, emptyMs: 0},
+    door_check: {count: 0, lastEmptyMs: 0},
+    interactive: {count: 0, lastEmptyMs: 0},
+    batch: {count: 0, lastEmptyMs: 0},
   };
 
   /** Waiting requests of all priorities. */
@@ -23,14 +23,14 @@
     return this.levels.batch.count;
   }
 
-  push(priority: Priority, nowMs: number): void {
+  add(priority: Priority, nowMs: number): void {
     for (const level of this.levelsFrom(priority)) {
-      level.emptyMs = level.count === 0 ? nowMs : level.emptyMs;
+      level.lastEmptyMs = level.count === 0 ? nowMs : level.lastEmptyMs;
       level.count++;
     }
   }
 
-  leave(priority: Priority): void {
+  remove(priority: Priority): void {
     for (const level of this.levelsFrom(priority)) {
       level.count--;
     }
@@ -38,8 +38,8 @@
 
   /** Time for which what goes before a priority has not run dry. */
   standingMs(priority: Priority, nowMs: number): number {
-    const {count, emptyMs} = this.levels[priority];
-    return count === 0 ? 0 : nowMs - emptyMs;
+    const {count, lastEmptyMs} = this.levels[priority];
+    return count === 0 ? 0 : nowMs - lastEmptyMs;
   }
 
   private levelsFrom(priority: Priority): readonly Level[] {
--- a/packages/decisions/src/stream-pace.ts
+++ b/packages/decisions/src/stream-pace.ts
@@ -8,7 +8,7 @@
  */
 
 /** Pauses that are measured; a few steps of an engine tell its pace. */
-const PAUSES = 4;
+const MEASURED_PAUSES = 4;
 
 /** Measures one stream. */
 export class StreamPace {
@@ -18,14 +18,14 @@
   private isTaken = false;
 
   /** Notes an event; returns the mean pause, in ms, once it is known. */
-  note(nowMs: number): number | undefined {
+  record(nowMs: number): number | undefined {
     this.lastAtMs = nowMs;
     if (this.firstAtMs === undefined) {
       this.firstAtMs = nowMs;
       return undefined;
     }
     this.pauses++;
-    return this.pauses >= PAUSES ? this.take() : undefined;
+    return this.pauses >= MEASURED_PAUSES ? this.take() : undefined;
   }
 
   /** The mean pause, in ms, of a stream that ended sooner; once only. */
--- a/packages/decisions/src/upstream-cost.ts
+++ b/packages/decisions/src/upstream-cost.ts
@@ -2,8 +2,8 @@
  * What a try costs at an upstream, in prompt tokens: what it waits for there,
  * what it holds up, and what it risks. Pure.
  */
-import type * as pickWork from './pick-work.js';
-import type * as upstreamSigns from './upstream-signs.js';
+import type * as pickRequest from './pick-request.js';
+import type * as upstreamStats from './upstream-stats.js';
 
 /**
  * Cost of one request in progress, in prompt tokens. An engine's step takes a
@@ -17,25 +17,25 @@
  * prompts that come in it: a fifth of what a capable model takes, for an answer
  * that is held up is still on time if it began in time.
  */
-const ANSWER_TOKEN_S = 0.002;
+const SECONDS_PER_ANSWER_TOKEN = 0.002;
 
 /**
  * Part of a prompt's cost that it brings to each request in progress, which
  * mostly can wait.
  */
-const HELD_UP_PART = 0.02;
+const PROMPT_INTERFERENCE_FRACTION = 0.02;
 
 /**
  * Most that standing still counts for, in prompt tokens: less than an engine
  * that is set apart for the other tier, which reads little by this measure.
  */
-const MOST_STANDSTILL_TOKENS = 4_000;
+const MAX_INTERFERENCE_TOKENS = 4_000;
 
 /**
  * Cost of another zone, in prompt tokens: two ms of round trip and the price
  * of the bytes, less than reading a short shared beginning again.
  */
-const ZONE_TOKENS = 300;
+const OTHER_ZONE_TOKENS = 300;
 
 /**
  * Cost of an engine that is set apart for the other tier, in prompt tokens:
@@ -54,7 +54,7 @@
  * Part of an engine's batch from which on it counts as filling up. What others
  * have sent there in the last half second is not known yet.
  */
-const FILLING_PART = 0.6;
+const NEARLY_FULL_FRACTION = 0.6;
 
 /** Differences below this many tokens are chance; among them the draw decides. */
 const NOISE_TOKENS = 150;
@@ -63,22 +63,22 @@
  * Cost of a whole batch, in prompt tokens, for plain services: a request that
  * has to wait for a slot waits for as long as one takes.
  */
-const FULL_TOKENS = 6_000;
+const PLAIN_FULL_BATCH_TOKENS = 6_000;
 
 /** Cost of the failure rate, in tokens: what a failed try wastes. */
 const FAILURE_TOKENS = 12_000;
 
 /** An upstream as a try would find it. */
-export interface UpstreamOutlook {
-  readonly candidate: pickWork.PickCandidate;
+export interface CandidateState {
+  readonly candidate: pickRequest.PickCandidate;
   /** Signs of all instances. */
-  readonly signs: upstreamSigns.HeardSigns;
+  readonly stats: upstreamStats.UpstreamSnapshot;
   /** Weighted tokens of this instance's own prompts that wait there. */
   readonly ownWaitingTokens: number;
   /** Whether it keeps the beginning that the prompt shares. */
-  readonly isHome: boolean;
+  readonly isPrefixHome: boolean;
   /** Whether it lies in the instance's zone. */
-  readonly isNear: boolean;
+  readonly isSameZone: boolean;
 }
 
 /**
@@ -87,28 +87,37 @@
  * @param random uniform random numbers in [0, 1).
  */
 export const findCost = (
-  work: pickWork.PickWork,
-  {candidate, signs, ownWaitingTokens, isHome, isNear}: UpstreamOutlook,
+  request: pickRequest.PickRequest,
+  {
+    candidate,
+    stats,
+    ownWaitingTokens,
+    isPrefixHome,
+    isSameZone,
+  }: CandidateState,
   random: () => number,
 ): number => {
-  const {inFlight, tokensPerS, answered, failed} = signs;
-  const isGeneration = work.promptTokens > 0;
+  const {inFlight, tokensPerS, answered, failed} = stats;
+  const isGeneration = request.promptTokens > 0;
   const load = isGeneration
     ? ownWaitingTokens +
       inFlight * REQUEST_TOKENS +
-      fullnessTokens(inFlight, candidate.slots) +
-      standstillTokens(work, inFlight, tokensPerS)
-    : (inFlight / candidate.slots) * FULL_TOKENS;
-  const unread = work.promptTokens - (isHome ? work.sharedTokens : 0);
-  const far = isNear ? 0 : ZONE_TOKENS;
-  const rate = failed / (answered + failed + 1);
+      findFullBatchTokens(inFlight, candidate.slots) +
+      findInterferenceTokens(request, inFlight, tokensPerS)
+    : (inFlight / candidate.slots) * PLAIN_FULL_BATCH_TOKENS;
+  const uncachedTokens =
+    request.promptTokens - (isPrefixHome ? request.prefixTokens : 0);
+  const zoneTokens = isSameZone ? 0 : OTHER_ZONE_TOKENS;
+  const failureRate = failed / (answered + failed + 1);
   const noise = random() * NOISE_TOKENS;
-  return load + unread + far + rate * FAILURE_TOKENS + noise;
+  return (
+    load + uncachedTokens + zoneTokens + failureRate * FAILURE_TOKENS + noise
+  );
 };
 
 /** Whether so many requests in progress nearly fill an upstream's batch. */
-export const isFillingUp = (inFlight: number, slots: number): boolean =>
-  inFlight >= FILLING_PART * slots;
+export const isNearlyFull = (inFlight: number, slots: number): boolean =>
+  inFlight >= NEARLY_FULL_FRACTION * slots;
 
 /**
  * Cost of standing still, in prompt tokens. An engine makes no answer's token
@@ -118,15 +127,15 @@
  * side by side, answers of a few seconds took twenty, and were cut by their
  * time limit or by the end of a process.
  */
-const standstillTokens = (
-  {promptTokens, answerTokens}: pickWork.PickWork,
+const findInterferenceTokens = (
+  {promptTokens, answerTokens}: pickRequest.PickRequest,
   inFlight: number,
   tokensPerS: number,
 ): number =>
   Math.min(
-    MOST_STANDSTILL_TOKENS,
-    ANSWER_TOKEN_S * answerTokens * tokensPerS +
-      HELD_UP_PART * promptTokens * inFlight,
+    MAX_INTERFERENCE_TOKENS,
+    SECONDS_PER_ANSWER_TOKEN * answerTokens * tokensPerS +
+      PROMPT_INTERFERENCE_FRACTION * promptTokens * inFlight,
   );
 
 /**
@@ -134,7 +143,8 @@
  * for a tier spill over before their batches are full; short prompts would else
  * push out long answers there while other engines have room.
  */
-const fullnessTokens = (inFlight: number, slots: number): number => {
-  const filled = (inFlight / slots - FILLING_PART) / (1 - FILLING_PART);
+const findFullBatchTokens = (inFlight: number, slots: number): number => {
+  const filled =
+    (inFlight / slots - NEARLY_FULL_FRACTION) / (1 - NEARLY_FULL_FRACTION);
   return FULL_BATCH_TOKENS * Math.max(0, filled);
 };
--- a/packages/decisions/src/upstream-load.ts
+++ b/packages/decisions/src/upstream-load.ts
@@ -5,14 +5,14 @@
 import * as movingEstimate from './moving-estimate.js';
 
 /** How a request to an upstream ended. */
-export type UpstreamAnswer = 'answered' | 'failed' | 'cancelled';
+export type UpstreamOutcome = 'answered' | 'failed' | 'cancelled';
 
 /** Width and number of the time slots in which own requests are remembered. */
 const HISTORY_STEP_MS = 250;
 const HISTORY_STEPS = 32;
 
 /** Age at which a report says nothing about the present. */
-const REPORT_LIFE_MS = 8000;
+const REPORT_TTL_MS = 8000;
 
 /**
  * Weight of a fresh report against own requests. Every instance sees the same
@@ -28,7 +28,7 @@
 const SLOWNESS_HALF_LIFE_MS = 10_000;
 
 /** Largest power of 2 by which failures in a row make an upstream look slow. */
-const MAX_FAILURE_POWER = 6;
+const MAX_FAILURE_EXPONENT = 6;
 
 /** Answers that should have come, after which an upstream counts as stalled. */
 const STALL_ANSWERS = 3;
@@ -42,7 +42,7 @@
   private historyStep = 0;
   private lastChangeMs = 0;
   private lastSampleMs = 0;
-  private failures = 0;
+  private consecutiveFailures = 0;
   private reportedLoad = 0;
   private ownAtReport = 0;
   private reportMs = -Infinity;
@@ -56,7 +56,7 @@
 
   /** Notes that a request was sent. */
   start(nowMs: number): void {
-    this.roll(nowMs);
+    this.advanceHistory(nowMs);
     if (this.inFlight === 0) {
       this.lastChangeMs = nowMs;
     }
@@ -69,20 +69,20 @@
    * @param latencyMs time of a comparable unit of work: to the first token for
    *   model engines, of the whole call for plain services.
    */
-  finish(answer: UpstreamAnswer, latencyMs: number, nowMs: number): void {
-    this.roll(nowMs);
+  finish(outcome: UpstreamOutcome, latencyMs: number, nowMs: number): void {
+    this.advanceHistory(nowMs);
     this.inFlight = Math.max(0, this.inFlight - 1);
     this.lastChangeMs = nowMs;
-    switch (answer) {
+    switch (outcome) {
       case 'answered':
-        this.failures = 0;
+        this.consecutiveFailures = 0;
         // After a pause the new answer counts more than what went before, so
         // that a few trials show that an upstream is sound again.
-        this.latency.add(latencyMs, 1 - this.memoryAt(nowMs));
+        this.latency.add(latencyMs, 1 - this.sampleWeightAt(nowMs));
         this.lastSampleMs = nowMs;
         break;
       case 'failed':
-        this.failures++;
+        this.consecutiveFailures++;
         this.lastSampleMs = nowMs;
         break;
       case 'cancelled':
@@ -100,7 +100,7 @@
     if (measuredMs <= this.reportMs) {
       return;
     }
-    this.roll(measuredMs);
+    this.advanceHistory(measuredMs);
     this.reportedLoad = load;
     this.reportMs = measuredMs;
     this.ownAtReport = this.ownAt(measuredMs);
@@ -113,16 +113,16 @@
 
   /** Whether the last report still counts. */
   hasReport(nowMs: number): boolean {
-    return nowMs - this.reportMs < REPORT_LIFE_MS;
+    return nowMs - this.reportMs < REPORT_TTL_MS;
   }
 
   /**
    * Expected requests at the upstream from all entry instances.
    *
-   * @param scale requests of all instances for each own one.
+   * @param loadScale requests of all instances for each own one.
    */
-  expectedLoad(scale: number, nowMs: number): number {
-    const extrapolated = this.inFlight * scale;
+  expectedLoad(loadScale: number, nowMs: number): number {
+    const extrapolated = this.inFlight * loadScale;
     if (!this.hasReport(nowMs)) {
       return extrapolated;
     }
@@ -145,29 +145,29 @@
    *   upstream would draw all requests.
    * - A stalled upstream gives no samples: its silence counts instead.
    */
-  slowness(usualMs: number, nowMs: number): number {
-    const measured = this.latency.hasSamples ? this.latency.mean : usualMs;
-    const power = Math.min(this.failures, MAX_FAILURE_POWER);
-    const excess = (measured / usualMs) * 2 ** power - 1;
-    const remembered = excess > 0 ? 1 + excess * this.memoryAt(nowMs) : 1;
-    return Math.max(remembered, this.silence(usualMs, nowMs));
+  slowness(typicalMs: number, nowMs: number): number {
+    const measured = this.latency.hasSamples ? this.latency.mean : typicalMs;
+    const exponent = Math.min(this.consecutiveFailures, MAX_FAILURE_EXPONENT);
+    const excess = (measured / typicalMs) * 2 ** exponent - 1;
+    const remembered = excess > 0 ? 1 + excess * this.sampleWeightAt(nowMs) : 1;
+    return Math.max(remembered, this.stallSlowness(typicalMs, nowMs));
   }
 
-  private memoryAt(nowMs: number): number {
+  private sampleWeightAt(nowMs: number): number {
     const ageMs = Math.max(0, nowMs - this.lastSampleMs);
     return 2 ** (-ageMs / SLOWNESS_HALF_LIFE_MS);
   }
 
-  private silence(usualMs: number, nowMs: number): number {
+  private stallSlowness(typicalMs: number, nowMs: number): number {
     if (this.inFlight === 0) {
       return 0;
     }
     const quietMs = nowMs - this.lastChangeMs;
-    return (quietMs * this.inFlight) / (STALL_ANSWERS * usualMs);
+    return (quietMs * this.inFlight) / (STALL_ANSWERS * typicalMs);
   }
 
   /** Brings the history up to `nowMs`. */
-  private roll(nowMs: number): void {
+  private advanceHistory(nowMs: number): void {
     const step = Math.floor(nowMs / HISTORY_STEP_MS);
     const first = Math.max(this.historyStep, step - HISTORY_STEPS + 1);
     for (let passed = first; passed < step; passed++) {
--- a/packages/decisions/src/upstream-picker.ts
+++ b/packages/decisions/src/upstream-picker.ts
@@ -9,32 +9,34 @@
  * choose the upstream which looked idle when they heard of it last.
  */
 import * as engineTiers from './engine-tiers.js';
-import type * as pickWork from './pick-work.js';
+import type * as pickRequest from './pick-request.js';
 import * as sample from './sample.js';
 import * as upstreamCost from './upstream-cost.js';
-import * as upstreamSigns from './upstream-signs.js';
+import * as upstreamStats from './upstream-stats.js';
 
 /** Signs of one upstream. */
-export type NamedSigns = upstreamSigns.HeardSigns & {readonly id: string};
+export type UpstreamReport = upstreamStats.UpstreamSnapshot & {
+  readonly id: string;
+};
 
 /** How a try ended. */
 export type PickOutcome =
   'answered' | 'failed' | 'refused' | 'unreachable' | 'cancelled';
 
 /** A try in progress. */
-export interface PickTicket {
+export interface UpstreamAttempt {
   /** The first byte of the answer has come. */
-  readonly begun: () => void;
+  readonly recordFirstByte: () => void;
   readonly end: (outcome: PickOutcome) => void;
 }
 
 /** Settings of a picker. */
 export interface UpstreamPickerOptions {
   /** Called when an upstream is left alone for a while, with what it showed. */
-  readonly onRest: (
+  readonly onEject: (
     id: string,
-    restMs: number,
-    signs: upstreamSigns.HeardSigns,
+    ejectionMs: number,
+    stats: upstreamStats.UpstreamSnapshot,
   ) => void;
   readonly zone: string;
   readonly now: () => number;
@@ -48,51 +50,51 @@
  * half second is not known: the best of all would be the same one for every
  * instance in that time, the better of two is another one for each.
  */
-const LEAST_DRAWN = 2;
+const MIN_SAMPLE_SIZE = 2;
 
 /** Upstreams of the other tier that are drawn beside them. */
-const DRAWN_OTHER_TIER = 1;
+const OTHER_TIER_SAMPLE_SIZE = 1;
 
 /**
  * Time for which an instance's part in the work of all is kept, in
  * milliseconds; it changes as instances come and go.
  */
-const PART_MS = 1_000;
+const TRAFFIC_SHARE_TTL_MS = 1_000;
 
 /** Failures in a row after which an upstream is left alone for a while. */
-const ROW_LIMIT = 3;
+const CONSECUTIVE_FAILURE_LIMIT = 3;
 
 /** Failures of the last seconds from which the rate tells something. */
-const RATE_COUNT = 3;
+const MIN_FAILURES_FOR_RATE = 3;
 
 /** Failure rate above the others' from which an upstream is left alone. */
-const RATE_EXCESS = 0.25;
+const FAILURE_RATE_EXCESS = 0.25;
 
 /** How long an upstream is left alone, in milliseconds; doubles each time. */
-const REST_MS = 700;
-const LONGEST_REST_MS = 5_000;
+const BASE_EJECTION_MS = 700;
+const MAX_EJECTION_MS = 5_000;
 
-interface Row {
+interface UpstreamEntry {
   readonly id: string;
-  readonly signs: upstreamSigns.UpstreamSigns;
+  readonly stats: upstreamStats.UpstreamStats;
   /** Not picked before, unless nothing else is there. */
-  restUntilMs: number;
-  restMs: number;
+  ejectedUntilMs: number;
+  ejectionMs: number;
 }
 
 /** Picks upstreams for one instance. */
 export class UpstreamPicker {
-  private readonly rows = new Map<string, Row>();
+  private readonly entries = new Map<string, UpstreamEntry>();
   /** This instance's part in the work of all, and as of when. */
-  private part = {atMs: -Infinity, value: 0};
+  private trafficShare = {atMs: -Infinity, value: 0};
 
   constructor(private readonly options: UpstreamPickerOptions) {}
 
   /** Forgets upstreams that are no longer there. */
-  keepOnly(ids: ReadonlySet<string>): void {
-    for (const id of this.rows.keys()) {
+  retain(ids: ReadonlySet<string>): void {
+    for (const id of this.entries.keys()) {
       if (!ids.has(id)) {
-        this.rows.delete(id);
+        this.entries.delete(id);
       }
     }
   }
@@ -102,69 +104,71 @@
    * the one with the least cost; undefined where there is none.
    */
   pick(
-    candidates: readonly pickWork.PickCandidate[],
-    work: pickWork.PickWork,
-  ): pickWork.PickCandidate | undefined {
+    candidates: readonly pickRequest.PickCandidate[],
+    request: pickRequest.PickRequest,
+  ): pickRequest.PickCandidate | undefined {
     const now = this.options.now();
-    const rested = candidates.filter(({id}) => this.row(id).restUntilMs <= now);
-    const usable = rested.length > 0 ? rested : candidates;
-    const tiers = engineTiers.splitByTier(usable, work.tier);
-    const home = engineTiers.findHome(tiers.own, work.sharedKey);
+    const available = candidates.filter(
+      ({id}) => this.entryOf(id).ejectedUntilMs <= now,
+    );
+    const usable = available.length > 0 ? available : candidates;
+    const tiers = engineTiers.splitByTier(usable, request.tier);
+    const home = engineTiers.findPrefixHome(tiers.own, request.prefixKey);
     const drawn = this.draw(tiers, home, now);
-    const best = this.findBest(drawn, work, home, now);
-    if (!best || !this.isFillingUp(best, now)) {
+    const best = this.findBest(drawn, request, home, now);
+    if (!best || !this.isNearlyFull(best, now)) {
       return best;
     }
     // Few have room left: most draws would miss them.
-    return this.findBest(tiers, work, home, now);
+    return this.findBest(tiers, request, home, now);
   }
 
-  private isFillingUp(
-    {id, slots}: pickWork.PickCandidate,
+  private isNearlyFull(
+    {id, slots}: pickRequest.PickCandidate,
     now: number,
   ): boolean {
-    const {inFlight} = this.row(id).signs.total(now);
-    return upstreamCost.isFillingUp(inFlight, slots);
+    const {inFlight} = this.entryOf(id).stats.total(now);
+    return upstreamCost.isNearlyFull(inFlight, slots);
   }
 
   private costOf(
-    candidate: pickWork.PickCandidate,
-    work: pickWork.PickWork,
+    candidate: pickRequest.PickCandidate,
+    request: pickRequest.PickRequest,
     home: string | undefined,
     now: number,
   ): number {
     const {zone, random} = this.options;
-    const {signs} = this.row(candidate.id);
-    const outlook = {
+    const {stats} = this.entryOf(candidate.id);
+    const state = {
       candidate,
-      signs: signs.total(now),
-      ownWaitingTokens: signs.waitingTokens,
-      isHome: candidate.id === home,
-      isNear: candidate.zone === zone,
+      stats: stats.total(now),
+      ownWaitingTokens: stats.waitingTokens,
+      isPrefixHome: candidate.id === home,
+      isSameZone: candidate.zone === zone,
     };
-    return upstreamCost.findCost(work, outlook, random);
+    return upstreamCost.findCost(request, state, random);
   }
 
   /** The cheapest of candidates of the own tier and of the other one. */
   private findBest(
     {own, other}: engineTiers.EngineTiers,
-    work: pickWork.PickWork,
+    request: pickRequest.PickRequest,
     home: string | undefined,
     now: number,
-  ): pickWork.PickCandidate | undefined {
+  ): pickRequest.PickCandidate | undefined {
     const costs = [
-      ...own.map(candidate => ({candidate, apart: 0})),
+      ...own.map(candidate => ({candidate, penalty: 0})),
       ...other.map(candidate => ({
         candidate,
-        apart: upstreamCost.OTHER_TIER_TOKENS,
+        penalty: upstreamCost.OTHER_TIER_TOKENS,
       })),
-    ].map(({candidate, apart}) => ({
+    ].map(({candidate, penalty}) => ({
       candidate,
-      cost: this.costOf(candidate, work, home, now) + apart,
+      cost: this.costOf(candidate, request, home, now) + penalty,
     }));
-    const [first, ...rest] = costs;
+    const [first, ...others] = costs;
     const best =
-      first && rest.reduce((a, b) => (b.cost < a.cost ? b : a), first);
+      first && others.reduce((a, b) => (b.cost < a.cost ? b : a), first);
     return best?.candidate;
   }
 
@@ -176,7 +180,7 @@
     const {random} = this.options;
     return {
       own: this.drawOwn(own, home, now),
-      other: sample.drawSample(other, DRAWN_OTHER_TIER, random),
+      other: sample.drawSample(other, OTHER_TIER_SAMPLE_SIZE, random),
     };
   }
 
@@ -185,63 +189,66 @@
    * sends most of all that is sent knows the rest well enough to look at most.
    */
   private drawOwn(
-    candidates: readonly pickWork.PickCandidate[],
+    candidates: readonly pickRequest.PickCandidate[],
     home: string | undefined,
     now: number,
-  ): readonly pickWork.PickCandidate[] {
+  ): readonly pickRequest.PickCandidate[] {
     const {zone, random} = this.options;
-    const part = this.partOfWork(now);
-    const count = Math.max(LEAST_DRAWN, Math.ceil(part * candidates.length));
+    const trafficShare = this.findTrafficShare(now);
+    const count = Math.max(
+      MIN_SAMPLE_SIZE,
+      Math.ceil(trafficShare * candidates.length),
+    );
     const near = candidates.filter(candidate => candidate.zone === zone);
     const drawn = sample.drawSample(near, Math.ceil(count / 2), random);
     const others = candidates.filter(candidate => !drawn.includes(candidate));
-    const rest = sample.drawSample(others, count - drawn.length, random);
-    const some = [...drawn, ...rest];
+    const remaining = sample.drawSample(others, count - drawn.length, random);
+    const some = [...drawn, ...remaining];
     const atHome = candidates.find(({id}) => id === home);
     return !atHome || some.includes(atHome) ? some : [...some, atHome];
   }
 
   /** Part of all instances' requests that this one sends, 0 to 1. */
-  private partOfWork(now: number): number {
-    if (now - this.part.atMs < PART_MS) {
-      return this.part.value;
+  private findTrafficShare(now: number): number {
+    if (now - this.trafficShare.atMs < TRAFFIC_SHARE_TTL_MS) {
+      return this.trafficShare.value;
     }
     let own = 0;
     let all = 0;
-    for (const {signs} of this.rows.values()) {
-      own += countRequests(signs.own(now));
-      all += countRequests(signs.total(now));
+    for (const {stats} of this.entries.values()) {
+      own += countRequests(stats.own(now));
+      all += countRequests(stats.total(now));
     }
-    this.part = {atMs: now, value: all === 0 ? 0 : own / all};
-    return this.part.value;
+    this.trafficShare = {atMs: now, value: all === 0 ? 0 : own / all};
+    return this.trafficShare.value;
   }
 
   /** Notes that a try begins. */
-  start(id: string, work: pickWork.PickWork): PickTicket {
-    const row = this.row(id);
-    const {signs} = row;
+  start(id: string, request: pickRequest.PickRequest): UpstreamAttempt {
+    const entry = this.entryOf(id);
+    const {stats} = entry;
     // A sum of fractions can end below 0 once all of them are taken away, and
     // peers refuse a report of less than nothing.
-    const promptTokens = Math.round(work.promptTokens);
-    signs.inFlight++;
-    signs.waitingTokens += promptTokens;
-    signs.notePrompt(promptTokens, this.options.now());
+    const promptTokens = Math.round(request.promptTokens);
+    stats.inFlight++;
+    stats.waitingTokens += promptTokens;
+    stats.recordPrompt(promptTokens, this.options.now());
     let isWaiting = true;
     let isOpen = true;
-    const begun = () => {
+    const recordFirstByte = () => {
       if (isWaiting) {
         isWaiting = false;
-        signs.waitingTokens -= promptTokens;
+        stats.waitingTokens -= promptTokens;
       }
     };
     return {
-      begun,
+      recordFirstByte,
       end: outcome => {
         if (isOpen) {
           isOpen = false;
-          begun();
-          signs.inFlight--;
-          this.noteEnd(row, outcome);
+          recordFirstByte();
+          stats.inFlight--;
+          this.recordEnd(entry, outcome);
         }
       },
     };
@@ -251,14 +258,14 @@
   sumWaitingTokens(ids: readonly string[]): number {
     const now = this.options.now();
     return ids.reduce(
-      (sum, id) => sum + this.row(id).signs.total(now).waitingTokens,
+      (sum, id) => sum + this.entryOf(id).stats.total(now).waitingTokens,
       0,
     );
   }
 
   /** What is known of an upstream, for the log. */
-  describe(id: string): upstreamSigns.HeardSigns {
-    return this.row(id).signs.total(this.options.now());
+  describe(id: string): upstreamStats.UpstreamSnapshot {
+    return this.entryOf(id).stats.total(this.options.now());
   }
 
   /**
@@ -266,97 +273,105 @@
    * heard from whom `counts` says.
    */
   report(
-    counts: (
+    includes: (
       instance: string,
-      scope: upstreamSigns.SignsScope,
+      scope: upstreamStats.ReportScope,
     ) => boolean = () => false,
-  ): readonly NamedSigns[] {
+  ): readonly UpstreamReport[] {
     const now = this.options.now();
-    return [...this.rows].flatMap(([id, {signs}]) => {
-      const told = signs.total(now, counts);
-      const isIdle = told.inFlight + told.answered + told.failed === 0;
-      return isIdle ? [] : [{id, ...told}];
+    return [...this.entries].flatMap(([id, {stats}]) => {
+      const total = stats.total(now, includes);
+      const isIdle = total.inFlight + total.answered + total.failed === 0;
+      return isIdle ? [] : [{id, ...total}];
     });
   }
 
   /** Takes in what another instance told of itself, or of others as well. */
-  hear(
+  merge(
     instance: string,
-    signs: readonly NamedSigns[],
-    scope: upstreamSigns.SignsScope = 'itself',
+    reports: readonly UpstreamReport[],
+    scope: upstreamStats.ReportScope = 'itself',
   ): void {
     const now = this.options.now();
-    for (const {id, ...heard} of signs) {
-      this.rows.get(id)?.signs.hear(instance, heard, scope, now);
+    for (const {id, ...snapshot} of reports) {
+      this.entries.get(id)?.stats.merge(instance, snapshot, scope, now);
     }
   }
 
-  private noteEnd(row: Row, outcome: PickOutcome): void {
+  private recordEnd(entry: UpstreamEntry, outcome: PickOutcome): void {
     const now = this.options.now();
     switch (outcome) {
       case 'answered':
-        row.signs.noteAnswer(now);
-        row.restMs = REST_MS;
+        entry.stats.recordAnswer(now);
+        entry.ejectionMs = BASE_EJECTION_MS;
         return;
       case 'cancelled':
         return;
       case 'refused':
         // Full, not broken: it is passed over until a slot may be free.
-        row.restUntilMs = Math.max(row.restUntilMs, now + REFUSED_REST_MS);
+        entry.ejectedUntilMs = Math.max(
+          entry.ejectedUntilMs,
+          now + FULL_UPSTREAM_EJECTION_MS,
+        );
         return;
       case 'unreachable':
-        row.signs.noteFailure(now);
-        this.rest(row, now);
+        entry.stats.recordFailure(now);
+        this.eject(entry, now);
         return;
       case 'failed':
-        row.signs.noteFailure(now);
-        if (row.signs.failuresInRow >= ROW_LIMIT || this.failsMore(row, now)) {
-          this.rest(row, now);
+        entry.stats.recordFailure(now);
+        if (
+          entry.stats.consecutiveFailures >= CONSECUTIVE_FAILURE_LIMIT ||
+          this.hasExcessFailures(entry, now)
+        ) {
+          this.eject(entry, now);
         }
     }
   }
 
-  private failsMore(row: Row, now: number): boolean {
-    const own = row.signs.total(now);
-    if (own.failed < RATE_COUNT) {
+  private hasExcessFailures(entry: UpstreamEntry, now: number): boolean {
+    const own = entry.stats.total(now);
+    if (own.failed < MIN_FAILURES_FOR_RATE) {
       return false;
     }
     let answered = 0;
     let failed = 0;
-    for (const other of this.rows.values()) {
-      const total = other.signs.total(now);
+    for (const other of this.entries.values()) {
+      const total = other.stats.total(now);
       answered += total.answered;
       failed += total.failed;
     }
     const usual = failed / Math.max(1, answered + failed);
-    return own.failed / (own.answered + own.failed) > usual + RATE_EXCESS;
+    return (
+      own.failed / (own.answered + own.failed) > usual + FAILURE_RATE_EXCESS
+    );
   }
 
-  private rest(row: Row, now: number): void {
-    const restMs = row.restMs * (1 + this.options.random() / 2);
-    row.restUntilMs = now + restMs;
-    this.options.onRest(row.id, restMs, row.signs.total(now));
-    row.restMs = Math.min(LONGEST_REST_MS, row.restMs * 2);
+  private eject(entry: UpstreamEntry, now: number): void {
+    const ejectionMs = entry.ejectionMs * (1 + this.options.random() / 2);
+    entry.ejectedUntilMs = now + ejectionMs;
+    this.options.onEject(entry.id, ejectionMs, entry.stats.total(now));
+    entry.ejectionMs = Math.min(MAX_EJECTION_MS, entry.ejectionMs * 2);
   }
 
-  private row(id: string): Row {
-    const known = this.rows.get(id);
+  private entryOf(id: string): UpstreamEntry {
+    const known = this.entries.get(id);
     if (known) {
       return known;
     }
     const created = {
       id,
-      signs: new upstreamSigns.UpstreamSigns(),
-      restUntilMs: -Infinity,
-      restMs: REST_MS,
+      stats: new upstreamStats.UpstreamStats(),
+      ejectedUntilMs: -Infinity,
+      ejectionMs: BASE_EJECTION_MS,
     };
-    this.rows.set(id, created);
+    this.entries.set(id, created);
     return created;
   }
 }
 
-const countRequests = (signs: upstreamSigns.HeardSigns): number =>
-  signs.inFlight + signs.answered + signs.failed;
+const countRequests = (stats: upstreamStats.UpstreamSnapshot): number =>
+  stats.inFlight + stats.answered + stats.failed;
 
 /** How long a full upstream is passed over, in milliseconds. */
-const REFUSED_REST_MS = 40;
+const FULL_UPSTREAM_EJECTION_MS = 40;
--- a/packages/decisions/src/upstream-signs.ts
+++ b/packages/decisions/src/upstream-stats.ts
@@ -5,7 +5,7 @@
 import * as slidingCount from './sliding-count.js';
 
 /** Time for which answers and failures count, in milliseconds. */
-export const SIGNS_WINDOW_MS = 4_000;
+export const STATS_WINDOW_MS = 4_000;
 
 /** Time over which the work that is sent is averaged, in milliseconds. */
 const WORK_WINDOW_MS = 2_000;
@@ -13,10 +13,10 @@
 const MS_PER_S = 1_000;
 
 /** Time for which what another instance told counts, in milliseconds. */
-const HEARSAY_MS = 1_500;
+const PEER_REPORT_TTL_MS = 1_500;
 
 /** What another instance saw. */
-export interface HeardSigns {
+export interface UpstreamSnapshot {
   readonly inFlight: number;
   /** Weighted tokens of prompts whose answers have not begun. */
   readonly waitingTokens: number;
@@ -30,55 +30,55 @@
  * Of whom another instance told: of itself, or of all that report to it as
  * well.
  */
-export type SignsScope = 'itself' | 'others';
+export type ReportScope = 'itself' | 'others';
 
-interface Hearsay extends HeardSigns {
-  readonly scope: SignsScope;
+interface PeerReport extends UpstreamSnapshot {
+  readonly scope: ReportScope;
   readonly atMs: number;
 }
 
 /** Signs of one upstream. */
-export class UpstreamSigns {
+export class UpstreamStats {
   /** Own requests in progress. */
   inFlight = 0;
   /** Weighted prompt tokens of own requests without a first byte yet. */
   waitingTokens = 0;
   /** Failures since the last good answer. */
-  failuresInRow = 0;
-  private readonly answered = new slidingCount.SlidingCount(SIGNS_WINDOW_MS);
-  private readonly failed = new slidingCount.SlidingCount(SIGNS_WINDOW_MS);
+  consecutiveFailures = 0;
+  private readonly answered = new slidingCount.SlidingCount(STATS_WINDOW_MS);
+  private readonly failed = new slidingCount.SlidingCount(STATS_WINDOW_MS);
   private readonly sent = new slidingCount.SlidingSum(WORK_WINDOW_MS);
-  private readonly heard = new Map<string, Hearsay>();
+  private readonly peerReports = new Map<string, PeerReport>();
 
   /** Notes the weighted tokens of a prompt that is sent. */
-  notePrompt(tokens: number, nowMs: number): void {
+  recordPrompt(tokens: number, nowMs: number): void {
     this.sent.add(tokens, nowMs);
   }
 
   /** Notes a good answer. */
-  noteAnswer(nowMs: number): void {
-    this.failuresInRow = 0;
+  recordAnswer(nowMs: number): void {
+    this.consecutiveFailures = 0;
     this.answered.add(nowMs);
   }
 
   /** Notes an answer that failed, broke off or did not come. */
-  noteFailure(nowMs: number): void {
-    this.failuresInRow++;
+  recordFailure(nowMs: number): void {
+    this.consecutiveFailures++;
     this.failed.add(nowMs);
   }
 
   /** Takes in what another instance told. */
-  hear(
+  merge(
     instance: string,
-    signs: HeardSigns,
-    scope: SignsScope,
+    snapshot: UpstreamSnapshot,
+    scope: ReportScope,
     nowMs: number,
   ): void {
-    this.heard.set(instance, {...signs, scope, atMs: nowMs});
+    this.peerReports.set(instance, {...snapshot, scope, atMs: nowMs});
   }
 
   /** What this instance tells. */
-  own(nowMs: number): HeardSigns {
+  own(nowMs: number): UpstreamSnapshot {
     return {
       inFlight: this.inFlight,
       waitingTokens: this.waitingTokens,
@@ -91,23 +91,23 @@
   /** Own signs and those heard of lately, added up, from whom `counts` says. */
   total(
     nowMs: number,
-    counts: (instance: string, scope: SignsScope) => boolean = () => true,
-  ): HeardSigns {
+    includes: (instance: string, scope: ReportScope) => boolean = () => true,
+  ): UpstreamSnapshot {
     let {inFlight, waitingTokens, tokensPerS, answered, failed} =
       this.own(nowMs);
-    for (const [instance, signs] of this.heard) {
-      if (nowMs - signs.atMs > HEARSAY_MS) {
-        this.heard.delete(instance);
+    for (const [instance, report] of this.peerReports) {
+      if (nowMs - report.atMs > PEER_REPORT_TTL_MS) {
+        this.peerReports.delete(instance);
         continue;
       }
-      if (!counts(instance, signs.scope)) {
+      if (!includes(instance, report.scope)) {
         continue;
       }
-      inFlight += signs.inFlight;
-      waitingTokens += signs.waitingTokens;
-      tokensPerS += signs.tokensPerS;
-      answered += signs.answered;
-      failed += signs.failed;
+      inFlight += report.inFlight;
+      waitingTokens += report.waitingTokens;
+      tokensPerS += report.tokensPerS;
+      answered += report.answered;
+      failed += report.failed;
     }
     return {inFlight, waitingTokens, tokensPerS, answered, failed};
   }
--- a/packages/decisions/src/warm-up.ts
+++ b/packages/decisions/src/warm-up.ts
@@ -71,7 +71,7 @@
 }
 
 /** Work at once that an upstream bears, cold for `ageMs`. */
-export const findBearable = (curve: WarmUpCurve, ageMs: number): number => {
+export const findWarmUpSlots = (curve: WarmUpCurve, ageMs: number): number => {
   const progress = Math.min(1, Math.max(0, ageMs / curve.warmMs));
   const grown = (curve.fullSlots - curve.coldSlots) * progress;
   return Math.floor(curve.coldSlots + grown);
@@ -112,7 +112,7 @@
  * An issuer that has just become first. It keeps quiet while the one before
  * it may still issue (a view's lag), and its grants be used and drained.
  */
-export const createWarmUpIssuer = (
+export const createSuccessorIssuer = (
   coldSinceMs: number,
   nowMs: number,
   timing: WarmUpTiming,
@@ -123,7 +123,7 @@
 });
 
 /** The same, for an upstream that nobody can have sent work to before. */
-export const createFirstIssuer = (coldSinceMs: number): WarmUpIssuer => ({
+export const createInitialIssuer = (coldSinceMs: number): WarmUpIssuer => ({
   coldSinceMs,
   quietUntilMs: coldSinceMs,
   grants: [],
@@ -165,9 +165,9 @@
     .filter(grant => nowMs < grant.heldUntilMs);
   const others = held.filter(grant => grant.instance !== request.instance);
   const holders = new Set(others.map(grant => grant.instance));
-  const bearable = findBearable(curve, nowMs - issuer.coldSinceMs);
-  const fair = Math.max(1, Math.ceil(bearable / (holders.size + 1)));
-  const free = Math.max(0, bearable - sumHeld(others));
+  const capacity = findWarmUpSlots(curve, nowMs - issuer.coldSinceMs);
+  const fair = Math.max(1, Math.ceil(capacity / (holders.size + 1)));
+  const free = Math.max(0, capacity - sumHeld(others));
   const isQuiet = nowMs < issuer.quietUntilMs;
   const slots = isQuiet ? 0 : Math.min(request.wanted, free, fair);
   const issued = {
@@ -213,7 +213,7 @@
  * Whether an instance should ask for slots at all: as many as the upstream
  * will bear, by rank, so that a thousand instances don't all ask one.
  */
-export const mayAskForGrants = (
+export const mayRequestGrants = (
   upstream: string,
   self: string,
   instances: readonly string[],
--- a/packages/decisions/tests/directory-choice.test.ts
+++ b/packages/decisions/tests/choose-addresses.test.ts
@@ -30,7 +30,7 @@
 });
 
 /** Requests by instance, of callers that draw one of what they are named. */
-const play = (
+const countRequests = (
   fleet: readonly decisions.DirectoryCandidate[],
   zones: number,
 ): ReadonlyMap<string, number> => {
@@ -60,7 +60,9 @@
     it(`bring each of ${name} its part`, () => {
       // The same 64 instances were named to all, and took two thirds of all
       // requests of 195.
-      const counts = [...play(createFleet(zones), zones.length).values()];
+      const counts = [
+        ...countRequests(createFleet(zones), zones.length).values(),
+      ];
       const mean =
         counts.reduce((sum, count) => sum + count, 0) / counts.length;
       chai.expect(Math.max(...counts)).below(2 * mean);
@@ -104,7 +106,7 @@
     const left = fleet.filter(
       ({id, zone}) => zone !== 'zone-0' || /-[12]$/.test(id),
     );
-    const counts = play(left, 3);
+    const counts = countRequests(left, 3);
     const mean = (3 * 500 * 20) / left.length;
     chai.expect(Math.max(...counts.values())).below(2.5 * mean);
   });
--- a/packages/decisions/tests/cold-share.test.ts
+++ b/packages/decisions/tests/cold-share.test.ts
@@ -2,9 +2,9 @@
 import * as decisions from '@amaranthknot/decisions';
 
 const LIMIT = {perSecond: 10, overrun: 1.5, slack: 5};
-const BORNE = LIMIT.perSecond * LIMIT.overrun + LIMIT.slack;
+const CAPACITY = LIMIT.perSecond * LIMIT.overrun + LIMIT.slack;
 
-const namesOf = (count: number): readonly string[] =>
+const createNames = (count: number): readonly string[] =>
   Array.from({length: count}, (_, i) => `instance-${i}`);
 
 /** Time after which an instance has long heard of all others, in ms. */
@@ -24,22 +24,22 @@
 describe('share of a cold upstream', () => {
   [1, 2, 6, 7, 13, 14, 30, 90, 300, 1_000].forEach(count => {
     it(`adds up to less than is borne with ${count} instances`, () => {
-      const names = namesOf(count);
+      const names = createNames(count);
       const sum = sumShares(names, () => names);
-      chai.expect(sum).within(1, BORNE);
+      chai.expect(sum).within(1, CAPACITY);
     });
   });
 
   it('still does while one instance in ten is not known to the others', () => {
     // A zone's upstreams come back cold while instances are being added: the
     // newcomers know everybody, the others do not know them yet.
-    const known = namesOf(90);
-    const newcomers = namesOf(100).slice(90);
+    const known = createNames(90);
+    const newcomers = createNames(100).slice(90);
     const all = [...known, ...newcomers];
     const sum = sumShares(all, self =>
       known.includes(self) ? known : [...known, self],
     );
-    chai.expect(sum).at.most(BORNE);
+    chai.expect(sum).at.most(CAPACITY);
   });
 
   [
@@ -50,9 +50,9 @@
       // All instances are killed while a zone's upstreams come back cold. Each
       // starts without knowing of another, takes the whole for itself, and a
       // cold upstream got 39 requests in a second where it bears 35.
-      const names = namesOf(7);
+      const names = createNames(7);
       const sum = sumShares(names, self => [self], uptimeMs);
-      chai.expect(sum).within(1, BORNE);
+      chai.expect(sum).within(1, CAPACITY);
     });
   });
 });
--- a/packages/decisions/tests/latency-book.test.ts
+++ b/packages/decisions/tests/latency-estimates.test.ts
@@ -1,31 +1,34 @@
 import * as chai from 'chai';
 import * as decisions from '@amaranthknot/decisions';
 
-const noteMany = (book: decisions.LatencyBook, latencyMs: number): void => {
+const recordMany = (
+  estimates: decisions.LatencyEstimates,
+  latencyMs: number,
+): void => {
   for (let i = 0; i < 200; i++) {
-    book.note('kind', latencyMs);
+    estimates.record('kind', latencyMs);
   }
 };
 
 describe('latency book', () => {
   it('waits for three times the usual', () => {
-    const book = new decisions.LatencyBook();
-    noteMany(book, 40);
-    chai.expect(book.hedgeAfterMs('kind', 300)).closeTo(120, 5);
+    const estimates = new decisions.LatencyEstimates();
+    recordMany(estimates, 40);
+    chai.expect(estimates.hedgeDelayMs('kind', 300)).closeTo(120, 5);
   });
 
   it('does not try twice sooner than a part of the target', () => {
-    const book = new decisions.LatencyBook();
-    noteMany(book, 1);
-    chai.expect(book.hedgeAfterMs('kind', 200)).equal(60);
+    const estimates = new decisions.LatencyEstimates();
+    recordMany(estimates, 1);
+    chai.expect(estimates.hedgeDelayMs('kind', 200)).equal(60);
   });
 
   it('waits longer when all answers take long', () => {
     // Every upstream is slow: requests sent twice would double the load that
     // made them slow.
-    const book = new decisions.LatencyBook();
-    noteMany(book, 500);
-    chai.expect(book.hedgeAfterMs('kind', 200)).equal(120);
+    const estimates = new decisions.LatencyEstimates();
+    recordMany(estimates, 500);
+    chai.expect(estimates.hedgeDelayMs('kind', 200)).equal(120);
   });
 });
 
--- a/packages/decisions/tests/reading-backlog.test.ts
+++ b/packages/decisions/tests/prefill-backlog.test.ts
@@ -6,10 +6,10 @@
 
 const learn = (
   samples: readonly (readonly [tokens: number, waitMs: number])[],
-): decisions.ReadingBacklog => {
-  const backlog = new decisions.ReadingBacklog();
+): decisions.PrefillBacklog => {
+  const backlog = new decisions.PrefillBacklog();
   samples.forEach(([tokens, waitMs]) => {
-    backlog.note(tokens, waitMs, NOW_MS);
+    backlog.record(tokens, waitMs, NOW_MS);
   });
   return backlog;
 };
--- a/packages/decisions/tests/reading-order.test.ts
+++ b/packages/decisions/tests/prefill-priority.test.ts
@@ -60,12 +60,12 @@
     {tokens: 700, rank: 1},
     {tokens: 2_400, rank: 3},
     {tokens: 9_200, rank: 5},
-    {tokens: 10_000_000, rank: decisions.LAST_RANK},
+    {tokens: 10_000_000, rank: decisions.LOWEST_PREFILL_PRIORITY},
   ];
 
   ranks.forEach(({tokens, rank}) => {
     it(`puts a prompt of ${tokens} tokens into rank ${rank}`, () => {
-      chai.expect(decisions.rankByReading(tokens)).equal(rank);
+      chai.expect(decisions.findPrefillPriority(tokens)).equal(rank);
     });
   });
 
@@ -76,7 +76,7 @@
     const prompts = createCrowd(11, 6_000);
     const asTheyCome = countLate(prompts, () => 0) / prompts.length;
     const byRank =
-      countLate(prompts, ({tokens}) => decisions.rankByReading(tokens)) /
+      countLate(prompts, ({tokens}) => decisions.findPrefillPriority(tokens)) /
       prompts.length;
     chai.expect(asTheyCome).greaterThan(0.6);
     chai.expect(byRank).lessThan(asTheyCome / 2);
--- a/packages/decisions/tests/placement-herd.test.ts
+++ b/packages/decisions/tests/upstream-picker-herd.test.ts
@@ -11,7 +11,7 @@
 const LENGTH_MS = 10_000;
 
 /** Prompt tokens that an engine reads in a ms. */
-const READ_PER_MS = 112;
+const PREFILL_TOKENS_PER_MS = 112;
 
 interface Load {
   readonly instances: number;
@@ -23,21 +23,21 @@
 const PROMPT = {
   promptTokens: 9_200,
   answerTokens: 50,
-  sharedTokens: 0,
-  sharedKey: undefined,
+  prefixTokens: 0,
+  prefixKey: undefined,
 };
 
 const ZONES = ['a', 'b', 'c'] as const;
 
 interface Waiting {
   readonly endMs: number;
-  readonly ticket: decisions.PickTicket;
+  readonly attempt: decisions.UpstreamAttempt;
 }
 
-const addUp = (
-  reports: readonly (readonly decisions.NamedSigns[])[],
-): readonly decisions.NamedSigns[] => {
-  const sums = new Map<string, decisions.NamedSigns>();
+const sumReports = (
+  reports: readonly (readonly decisions.UpstreamReport[])[],
+): readonly decisions.UpstreamReport[] => {
+  const sums = new Map<string, decisions.UpstreamReport>();
   for (const row of reports.flat()) {
     const {id} = row;
     const sum = sums.get(id);
@@ -62,7 +62,11 @@
  * Waits for first tokens, in ms and sorted, of callers whose prompts are placed
  * by many instances, each of which hears of the others by reports.
  */
-const playLoad = ({instances, engines, perSecond}: Load): readonly number[] => {
+const simulateWaits = ({
+  instances,
+  engines,
+  perSecond,
+}: Load): readonly number[] => {
   const random = fakes.createRandom(11);
   let nowMs = 0;
   const pickers = Array.from(
@@ -72,7 +76,7 @@
         zone: ZONES[i % ZONES.length] ?? 'a',
         now: () => nowMs,
         random,
-        onRest: () => undefined,
+        onEject: () => undefined,
       }),
   );
   const candidates = Array.from({length: engines}, (_, i) => ({
@@ -82,7 +86,9 @@
   }));
   pickers.forEach(picker => picker.pick(candidates, PROMPT));
   const freeAtMs = new Map(candidates.map(({id}) => [id, 0]));
-  const reports: (readonly decisions.NamedSigns[])[] = pickers.map(() => []);
+  const reports: (readonly decisions.UpstreamReport[])[] = pickers.map(
+    () => [],
+  );
   const offsets = pickers.map(() => random() * REPORT_MS);
   let waiting: Waiting[] = [];
   const waits: number[] = [];
@@ -90,7 +96,7 @@
   const exchange = (index: number): void => {
     reports[index] = pickers[index]?.report() ?? [];
     const others = reports.filter((_, other) => other !== index);
-    pickers[index]?.hear('watcher', addUp(others), 'others');
+    pickers[index]?.merge('watcher', sumReports(others), 'others');
   };
   const place = (): void => {
     const picker = pickers[Math.floor(random() * instances)];
@@ -98,18 +104,18 @@
     if (!picker || !picked) {
       return;
     }
-    const ticket = picker.start(picked.id, PROMPT);
+    const attempt = picker.start(picked.id, PROMPT);
     const beginMs = Math.max(nowMs, freeAtMs.get(picked.id) ?? 0);
-    const endMs = beginMs + PROMPT.promptTokens / READ_PER_MS;
+    const endMs = beginMs + PROMPT.promptTokens / PREFILL_TOKENS_PER_MS;
     freeAtMs.set(picked.id, endMs);
     waits.push(endMs - nowMs);
-    waiting.push({endMs, ticket});
+    waiting.push({endMs, attempt});
   };
   for (; nowMs < LENGTH_MS; nowMs += STEP_MS) {
     waiting
       .filter(({endMs}) => endMs <= nowMs)
-      .forEach(({ticket}) => {
-        ticket.end('answered');
+      .forEach(({attempt}) => {
+        attempt.end('answered');
       });
     waiting = waiting.filter(({endMs}) => endMs > nowMs);
     offsets.forEach((offset, index) => {
@@ -137,8 +143,8 @@
       // All instances sent their prompts to the engine that had looked idle
       // half a second ago; fifteen of forty went to one of thirty, and callers
       // waited behind them for seconds.
-      const waits = playLoad(load);
-      const readMs = PROMPT.promptTokens / READ_PER_MS;
+      const waits = simulateWaits(load);
+      const readMs = PROMPT.promptTokens / PREFILL_TOKENS_PER_MS;
       const p99 = waits[Math.floor(waits.length * 0.99)] ?? Infinity;
       chai.expect(p99).below(5 * readMs);
     });
--- a/packages/decisions/tests/answer-pace.test.ts
+++ b/packages/decisions/tests/upstream-picker-interference.test.ts
@@ -4,29 +4,29 @@
 import * as decisions from '@amaranthknot/decisions';
 
 /** What the engines of this test take, in ms a token. */
-const READ_MS = 1 / 18;
-const MAKE_MS = 10;
+const PREFILL_MS = 1 / 18;
+const DECODE_MS = 10;
 
 const ENGINES = 4;
 const STEP_MS = 10;
 
 /** A long prompt with a short answer, and a short one with a long answer. */
-const PACK = {
+const LONG_PROMPT = {
   promptTokens: 12_000,
   answerTokens: 20,
-  sharedTokens: 0,
-  sharedKey: undefined,
+  prefixTokens: 0,
+  prefixKey: undefined,
 };
-const CHAT = {
+const LONG_ANSWER = {
   promptTokens: 800,
   answerTokens: 300,
-  sharedTokens: 0,
-  sharedKey: undefined,
+  prefixTokens: 0,
+  prefixKey: undefined,
 };
 
 interface Running {
-  readonly work: decisions.PickWork;
-  readonly ticket: decisions.PickTicket;
+  readonly request: decisions.PickRequest;
+  readonly attempt: decisions.UpstreamAttempt;
   readonly atMs: number;
   leftMs: number;
 }
@@ -34,37 +34,40 @@
 interface Engine {
   readonly id: string;
   /** Prompts that wait, of which the first is read. */
-  reading: Running[];
-  making: Running[];
+  prefilling: Running[];
+  decoding: Running[];
 }
 
 /** An engine reads one prompt after the other, and makes no token meanwhile. */
 const step = (engine: Engine, onEnd: (run: Running) => void): void => {
-  const [first] = engine.reading;
+  const [first] = engine.prefilling;
   if (first) {
     first.leftMs -= STEP_MS;
     if (first.leftMs <= 0) {
-      engine.reading.shift();
-      first.ticket.begun();
-      first.leftMs = first.work.answerTokens * MAKE_MS;
-      engine.making.push(first);
+      engine.prefilling.shift();
+      first.attempt.recordFirstByte();
+      first.leftMs = first.request.answerTokens * DECODE_MS;
+      engine.decoding.push(first);
     }
     return;
   }
-  engine.making.forEach(run => {
+  engine.decoding.forEach(run => {
     run.leftMs -= STEP_MS;
   });
-  engine.making
+  engine.decoding
     .filter(({leftMs}) => leftMs <= 0)
     .forEach(run => {
-      run.ticket.end('answered');
+      run.attempt.end('answered');
       onEnd(run);
     });
-  engine.making = engine.making.filter(({leftMs}) => leftMs > 0);
+  engine.decoding = engine.decoding.filter(({leftMs}) => leftMs > 0);
 };
 
 /** Times of long answers in ms, with or without their length counted. */
-const playChats = (seed: number, isCounted: boolean): readonly number[] => {
+const simulateLongAnswers = (
+  seed: number,
+  isCounted: boolean,
+): readonly number[] => {
   let now = 0;
   const source = generator.xoroshiro128plus(seed);
   const random = () => distribution.uniformFloat64(source);
@@ -72,50 +75,50 @@
     zone: 'a',
     now: () => now,
     random,
-    onRest: () => undefined,
+    onEject: () => undefined,
   });
   const engines = Array.from({length: ENGINES}, (_, i): Engine => ({
     id: `e-${i}`,
-    reading: [],
-    making: [],
+    prefilling: [],
+    decoding: [],
   }));
   const candidates = engines.map(({id}) => ({id, zone: 'a', slots: 64}));
-  const took: number[] = [];
-  const start = (work: decisions.PickWork) => {
+  const latencies: number[] = [];
+  const start = (request: decisions.PickRequest) => {
     // Without it, an answer is taken for one of no length.
-    const seen = isCounted ? work : {...work, answerTokens: 0};
+    const seen = isCounted ? request : {...request, answerTokens: 0};
     const id = picker.pick(candidates, seen)?.id;
     const engine = engines.find(other => other.id === id);
-    engine?.reading.push({
-      work,
-      ticket: picker.start(engine.id, seen),
+    engine?.prefilling.push({
+      request,
+      attempt: picker.start(engine.id, seen),
       atMs: now,
-      leftMs: work.promptTokens * READ_MS,
+      leftMs: request.promptTokens * PREFILL_MS,
     });
   };
   for (; now < 40_000; now += STEP_MS) {
     if (random() < (2.8 * STEP_MS) / 1_000) {
-      start(PACK);
+      start(LONG_PROMPT);
     }
     if (random() < (4.6 * STEP_MS) / 1_000) {
-      start(CHAT);
+      start(LONG_ANSWER);
     }
     engines.forEach(engine => {
-      step(engine, ({work, atMs}) => {
-        if (work === CHAT) {
-          took.push(now - atMs);
+      step(engine, ({request, atMs}) => {
+        if (request === LONG_ANSWER) {
+          latencies.push(now - atMs);
         }
       });
     });
   }
-  return took;
+  return latencies;
 };
 
 const SEEDS = [5, 6, 7, 8];
 
 const meanMs = (isCounted: boolean): number => {
-  const took = SEEDS.flatMap(seed => playChats(seed, isCounted));
-  return took.reduce((sum, ms) => sum + ms, 0) / took.length;
+  const latencies = SEEDS.flatMap(seed => simulateLongAnswers(seed, isCounted));
+  return latencies.reduce((sum, ms) => sum + ms, 0) / latencies.length;
 };
 
 describe('pace of long answers beside long prompts', () => {
--- a/packages/decisions/tests/upstream-picker.test.ts
+++ b/packages/decisions/tests/upstream-picker.test.ts
@@ -6,8 +6,8 @@
 const PLAIN = {
   promptTokens: 0,
   answerTokens: 0,
-  sharedTokens: 0,
-  sharedKey: undefined,
+  prefixTokens: 0,
+  prefixKey: undefined,
 };
 
 const createRandom = (seed: number): (() => number) => {
@@ -19,17 +19,17 @@
   readonly picker: decisions.UpstreamPicker;
   readonly candidates: readonly decisions.PickCandidate[];
   readonly advance: (ms: number) => void;
-  readonly rested: string[];
+  readonly ejected: string[];
 }
 
 const setUp = (count = 4): Setup => {
   let now = 0;
-  const rested: string[] = [];
+  const ejected: string[] = [];
   const picker = new decisions.UpstreamPicker({
     zone: 'zone-a',
     now: () => now,
     random: createRandom(7),
-    onRest: id => rested.push(id),
+    onEject: id => ejected.push(id),
   });
   const candidates = Array.from({length: count}, (_, i) => ({
     id: `u-${i}`,
@@ -39,7 +39,7 @@
   return {
     picker,
     candidates,
-    rested,
+    ejected,
     advance: ms => {
       now += ms;
     },
@@ -48,8 +48,8 @@
 
 const pickId = (
   {picker, candidates}: Setup,
-  work: decisions.PickWork = PLAIN,
-): string => picker.pick(candidates, work)?.id ?? '';
+  request: decisions.PickRequest = PLAIN,
+): string => picker.pick(candidates, request)?.id ?? '';
 
 describe('upstream picker', () => {
   it('spreads requests over idle upstreams', () => {
@@ -67,7 +67,7 @@
     const setup = setUp(2);
     setup.picker.start('u-0', PLAIN);
     setup.picker.start('u-1', PLAIN);
-    setup.picker.hear('peer', [
+    setup.picker.merge('peer', [
       {
         id: 'u-0',
         inFlight: 6,
@@ -87,14 +87,14 @@
     const long = {
       promptTokens: 50_000,
       answerTokens: 0,
-      sharedTokens: 0,
-      sharedKey: undefined,
+      prefixTokens: 0,
+      prefixKey: undefined,
     };
     const short = {
       promptTokens: 500,
       answerTokens: 0,
-      sharedTokens: 0,
-      sharedKey: undefined,
+      prefixTokens: 0,
+      prefixKey: undefined,
     };
     setup.picker.start('u-0', long);
     const picked = Array.from({length: 10}, () => pickId(setup, short));
@@ -106,8 +106,8 @@
     const work = {
       promptTokens: 6_000,
       answerTokens: 0,
-      sharedTokens: 5_000,
-      sharedKey: 'model/part-1',
+      prefixTokens: 5_000,
+      prefixKey: 'model/part-1',
     };
     const picked = Array.from({length: 10}, () => {
       const id = pickId(setup, work);
@@ -126,7 +126,7 @@
     for (let i = 0; i < 60; i++) {
       const tier = i % 3 === 0 ? 'capable' : 'cheap';
       const ticket = setup.picker.start(pickId(setup, {...work, tier}), work);
-      ticket.begun();
+      ticket.recordFirstByte();
     }
     const loads = setup.candidates.map(
       ({id}) => setup.picker.describe(id).inFlight,
@@ -142,7 +142,7 @@
       setup.picker.start('u-0', {...PLAIN, promptTokens: 0.1 + i * 0.37}),
     );
     tickets.reverse().forEach(ticket => {
-      ticket.begun();
+      ticket.recordFirstByte();
       const [row] = setup.picker.report();
       chai.expect(row?.waitingTokens).at.least(0);
     });
@@ -154,7 +154,7 @@
     for (let i = 0; i < 3; i++) {
       setup.picker.start('u-0', PLAIN).end('failed');
     }
-    chai.expect(setup.rested).eql(['u-0']);
+    chai.expect(setup.ejected).eql(['u-0']);
     const picked = Array.from({length: 20}, () => pickId(setup));
     chai.expect(picked).not.include('u-0');
   });
@@ -172,7 +172,7 @@
   it('hears from others that an upstream fails', () => {
     const setup = setUp(3);
     setup.picker.start('u-0', PLAIN).end('answered');
-    setup.picker.hear('peer', [
+    setup.picker.merge('peer', [
       {
         id: 'u-0',
         inFlight: 0,
--- a/packages/decisions/tests/warm-up.test.ts
+++ b/packages/decisions/tests/warm-up.test.ts
@@ -29,14 +29,14 @@
   ];
   for (const {ageMs, slots} of cases) {
     it(`is ${slots} slots at ${ageMs} ms`, () => {
-      chai.expect(decisions.findBearable(CURVE, ageMs)).to.equal(slots);
+      chai.expect(decisions.findWarmUpSlots(CURVE, ageMs)).to.equal(slots);
     });
   }
 });
 
 describe('issueGrant', () => {
   it('never issues more than the bound to many instances', () => {
-    let issuer = decisions.createFirstIssuer(0);
+    let issuer = decisions.createInitialIssuer(0);
     let sum = 0;
     for (let i = 0; i < 20; i++) {
       const answer = ask(issuer, `entry-${i}`, 0);
@@ -49,7 +49,7 @@
   // The holder of all slots is cut off with work in progress. Its slots may
   // be issued again only when its work has certainly ended.
   it('keeps the slots of a holder that went silent until its drain', () => {
-    const {issuer} = ask(decisions.createFirstIssuer(0), 'a', 0);
+    const {issuer} = ask(decisions.createInitialIssuer(0), 'a', 0);
     chai.expect(ask(issuer, 'b', 5_900).grant.slots).to.equal(5);
     chai.expect(ask(issuer, 'b', 6_000).grant.slots).to.equal(10);
   });
@@ -58,7 +58,7 @@
   // the larger one until its end. Freeing the difference at once would let
   // another's work come on top.
   it('frees nothing by a smaller grant whose answer may be lost', () => {
-    const first = ask(decisions.createFirstIssuer(0), 'a', 0);
+    const first = ask(decisions.createInitialIssuer(0), 'a', 0);
     chai.expect(first.grant.slots).to.equal(4);
     const smaller = ask(first.issuer, 'a', 500, 0, 1);
     chai.expect(smaller.grant.slots).to.equal(1);
@@ -66,20 +66,20 @@
   });
 
   it('issues again at once when a holder wants nothing more', () => {
-    const first = ask(decisions.createFirstIssuer(0), 'a', 0);
+    const first = ask(decisions.createInitialIssuer(0), 'a', 0);
     const released = ask(first.issuer, 'a', 500, 0, 0);
     const answer = ask(released.issuer, 'b', 2_100);
     chai.expect(answer.grant.slots).to.be.at.least(4);
   });
 
   it('keeps quiet after taking over until earlier grants have drained', () => {
-    const issuer = decisions.createWarmUpIssuer(0, 10_000, TIMING);
+    const issuer = decisions.createSuccessorIssuer(0, 10_000, TIMING);
     chai.expect(ask(issuer, 'a', 18_999).grant.slots).to.equal(0);
     chai.expect(ask(issuer, 'a', 19_000).grant.slots).to.be.above(0);
   });
 
   it('issues nothing when cold again before grants in use fit', () => {
-    const warm = ask(decisions.createFirstIssuer(-60_000), 'a', 0);
+    const warm = ask(decisions.createInitialIssuer(-60_000), 'a', 0);
     const cold = decisions.resetIssuer(warm.issuer, 100);
     chai.expect(ask(cold, 'b', 200).grant.slots).to.equal(0);
   });
@@ -115,18 +115,18 @@
 });
 
 describe('cold detector', () => {
-  const answer = (firstTokenMs: number): decisions.UpstreamSign => ({
+  const answer = (firstTokenMs: number): decisions.UpstreamObservation => ({
     kind: 'answer',
     firstTokenMs,
   });
-  const report = (startedAtMs: number): decisions.UpstreamSign => ({
+  const report = (startedAtMs: number): decisions.UpstreamObservation => ({
     kind: 'report',
     startedAtMs,
   });
   const usual = [report(5), answer(100), answer(110)];
   const cases: readonly {
     readonly name: string;
-    readonly signs: readonly decisions.UpstreamSign[];
+    readonly signs: readonly decisions.UpstreamObservation[];
     readonly isCold: boolean;
   }[] = [
     {name: 'usual answers', signs: [answer(120)], isCold: false},
@@ -161,7 +161,7 @@
   for (const {name, signs, isCold} of cases) {
     it(`is ${isCold ? 'cold' : 'warm'} after ${name}`, () => {
       const warm = decisions.markWarm(decisions.createColdDetector());
-      const seen = [...usual, ...signs].reduce(decisions.seeSign, warm);
+      const seen = [...usual, ...signs].reduce(decisions.observeUpstream, warm);
       chai.expect(seen.isCold).to.equal(isCold);
     });
   }
--- a/packages/entry/src/upstream-directory.ts
+++ b/packages/entry/src/upstream-directory.ts
@@ -44,7 +44,7 @@
 
 const ANSWER_BY_OUTCOME: Record<
   upstreams.AttemptOutcome,
-  decisions.UpstreamAnswer
+  decisions.UpstreamOutcome
 > = {
   finished: 'answered',
   refused: 'failed',
--- a/packages/entry/src/warm-up-desk.ts
+++ b/packages/entry/src/warm-up-desk.ts
@@ -158,8 +158,8 @@
     const settledMs = this.viewSinceMs + viewLagMs + termMs + drainMs;
     // Long the first in an unchanged view: no one else can have issued.
     return settledMs < now
-      ? decisions.createFirstIssuer(coldSinceMs)
-      : decisions.createWarmUpIssuer(coldSinceMs, now, this.timing);
+      ? decisions.createInitialIssuer(coldSinceMs)
+      : decisions.createSuccessorIssuer(coldSinceMs, now, this.timing);
   }
 
   private noteView(): void {
@@ -174,7 +174,7 @@
   private async askForGrant(id: string, cold: Cold): Promise<void> {
     const {self, clock, instances, inFlight, ask} = this.options;
     const ids = instances();
-    if (!decisions.mayAskForGrants(id, self, ids, cold.curve)) {
+    if (!decisions.mayRequestGrants(id, self, ids, cold.curve)) {
       return;
     }
     const [issuer = self] = decisions.rankByRendezvous(id, ids, 1);
--- a/packages/experiment/src/policy.ts
+++ b/packages/experiment/src/policy.ts
@@ -31,7 +31,7 @@
 ): decisions.UpstreamPicker => {
   const {clock, random, settings} = get('options');
   const picker = new decisions.UpstreamPicker({
-    onRest: () => undefined,
+    onEject: () => undefined,
     zone: settings.current.instance.zone,
     now: () => clock.now(),
     random,
--- a/packages/gateway/src/buffered-run.ts
+++ b/packages/gateway/src/buffered-run.ts
@@ -121,7 +121,7 @@
       return Promise.race(pending);
     }
     const {service, route} = this.context.request;
-    const waitMs = this.dependencies.latencies.hedgeAfterMs(
+    const waitMs = this.dependencies.latencies.hedgeDelayMs(
       service.name,
       route.latencyTargetMs,
     );
@@ -209,7 +209,7 @@
     const {status} = answer;
     placed.settle(isFailure(status) ? 'failed' : 'answered');
     const tookMs = this.dependencies.clock.now() - startedAtMs;
-    this.dependencies.latencies.note(request.service.name, tookMs);
+    this.dependencies.latencies.record(request.service.name, tookMs);
     const headers = rawHeaders.keepEndToEnd(answer.headers, NO_DROPPED_HEADERS);
     this.last = {
       kind: 'answer',
--- a/packages/gateway/src/escalation-policy.ts
+++ b/packages/gateway/src/escalation-policy.ts
@@ -33,7 +33,7 @@
 
 interface Meters {
   readonly waits: decisions.ScarcityMeter;
-  readonly reading: decisions.ReadingBacklog;
+  readonly reading: decisions.PrefillBacklog;
 }
 
 /** What one instance knows of the capable models of all services. */
@@ -80,10 +80,10 @@
       return;
     }
     const {waits, reading} = this.metersOf(service);
-    waits.note(waitMs, route.latencyTargetMs, this.options.now());
+    waits.record(waitMs, route.latencyTargetMs, this.options.now());
     if (!timedOut) {
       const tokens = caller.generation?.promptTokens ?? 0;
-      reading.note(tokens, waitMs, this.options.now());
+      reading.record(tokens, waitMs, this.options.now());
     }
   }
 
@@ -116,7 +116,7 @@
     }
     const created = {
       waits: new decisions.ScarcityMeter(),
-      reading: new decisions.ReadingBacklog(),
+      reading: new decisions.PrefillBacklog(),
     };
     this.meters.set(name, created);
     return created;
--- a/packages/gateway/src/run-context.ts
+++ b/packages/gateway/src/run-context.ts
@@ -77,7 +77,7 @@
   readonly headerConventions: headerNames.HeaderConventions;
   readonly place: PlaceAttempt;
   readonly openCall: upstreamCall.OpenCall;
-  readonly latencies: decisions.LatencyBook;
+  readonly latencies: decisions.LatencyEstimates;
   readonly probe: upstreamProbe.ProbeUpstream;
   readonly escalation: escalationPolicy.EscalationPolicy;
 }
--- a/packages/gateway/src/stream-opener.ts
+++ b/packages/gateway/src/stream-opener.ts
@@ -107,8 +107,8 @@
       return stallWatchdog.NO_WATCHDOG;
     }
     return this.startWatchdog(placed.upstream, model, abortController, {
-      probeAfterMs: decisions.findProbeMs(pauseTargetMs),
-      stallAfterMs: decisions.findStallMs(pauseTargetMs),
+      probeAfterMs: decisions.findProbeDelayMs(pauseTargetMs),
+      stallAfterMs: decisions.findStallTimeoutMs(pauseTargetMs),
     });
   }
 
@@ -220,7 +220,7 @@
     timedOut: boolean,
   ): void {
     const {latencies, escalation} = this.dependencies;
-    latencies.note(this.latencyKeyOf(model), waitMs);
+    latencies.record(this.latencyKeyOf(model), waitMs);
     escalation.recordWait(this.context.request, model, waitMs, timedOut);
   }
 
@@ -241,8 +241,8 @@
   ): stallWatchdog.StallWatchdog {
     const {latencyTargetMs} = this.context.request.route;
     return this.startWatchdog(upstream, model, abortController, {
-      probeAfterMs: decisions.findProbeMs(latencyTargetMs),
-      stallAfterMs: this.dependencies.latencies.firstTokenMs(
+      probeAfterMs: decisions.findProbeDelayMs(latencyTargetMs),
+      stallAfterMs: this.dependencies.latencies.firstTokenTimeoutMs(
         this.latencyKeyOf(model),
         latencyTargetMs,
       ),
--- a/packages/gateway/src/upstream-headers.ts
+++ b/packages/gateway/src/upstream-headers.ts
@@ -59,7 +59,7 @@
   headers.push(names.expectedUpstream, attempt.upstreamId);
   headers.push(names.timeLeft, String(Math.floor(attempt.timeLeftMs)));
   if (caller.generation) {
-    const rank = decisions.rankByReading(caller.generation.promptTokens);
+    const rank = decisions.findPrefillPriority(caller.generation.promptTokens);
     headers.push(names.priority, String(rank));
   }
   if (workspace) {
--- a/packages/gateway/src/upstream-placement.ts
+++ b/packages/gateway/src/upstream-placement.ts
@@ -165,7 +165,7 @@
   private beginAttempt(
     known: Known,
     toPlace: runContext.PlacementRequest,
-    pickWork: decisions.PickWork,
+    pickWork: decisions.PickRequest,
   ): Omit<runContext.PlacedAttempt, 'inputs'> {
     const {upstream} = known;
     const {rollouts} = this.options;
@@ -191,11 +191,11 @@
     return {
       upstream,
       recordEvent: () => {
-        notePace(pace.note(this.options.now()));
+        notePace(pace.record(this.options.now()));
       },
       recordHead: () => {
         firstByteMs ??= this.options.now() - startedAtMs;
-        ticket.begun();
+        ticket.recordFirstByte();
       },
       settle: outcome => {
         ticket.end(outcome);
@@ -248,15 +248,15 @@
 
 const describeWork = (
   toPlace: runContext.PlacementRequest,
-): decisions.PickWork => {
+): decisions.PickRequest => {
   const {caller, service} = toPlace.request;
   const {generation} = caller;
   if (!generation) {
     return {
       promptTokens: 0,
       answerTokens: 0,
-      sharedTokens: 0,
-      sharedKey: undefined,
+      prefixTokens: 0,
+      prefixKey: undefined,
     };
   }
   const weight = promptWeightOf(toPlace.model, service.engine);
@@ -272,8 +272,8 @@
   return {
     promptTokens: generation.promptTokens * weight,
     answerTokens: callerRequest.estimateAnswerTokens(generation) * weight,
-    sharedTokens: sharedTokens * weight,
-    sharedKey,
+    prefixTokens: sharedTokens * weight,
+    prefixKey: sharedKey,
     ...(models.length < 2 ? {} : {tier: isCapable ? 'capable' : 'cheap'}),
   };
 };
--- a/packages/gateway/src/version-latencies.ts
+++ b/packages/gateway/src/version-latencies.ts
@@ -34,8 +34,8 @@
 
 /** Latencies that one instance saw, by kind of work. */
 export class VersionLatencies {
-  private readonly firstBytes = new decisions.UsualLatency();
-  private readonly paces = new decisions.UsualLatency();
+  private readonly firstBytes = new decisions.MedianLatencies();
+  private readonly paces = new decisions.MedianLatencies();
 
   /** @param isOnTrial whether a version is one that an order brings in now. */
   constructor(
@@ -60,7 +60,7 @@
 
   /** What a version on trial takes is not usual, however often it is seen. */
   private exceedsUsual(
-    usual: decisions.UsualLatency,
+    usual: decisions.MedianLatencies,
     requestClass: RequestClass,
     latencyMs: number,
     factor: number,
@@ -68,7 +68,7 @@
     const name = classKeyOf(requestClass);
     const usualMs = usual.medianMs(name);
     if (!this.isOnTrial(requestClass)) {
-      usual.note(name, latencyMs);
+      usual.record(name, latencyMs);
     }
     return usualMs !== undefined && latencyMs > factor * usualMs;
   }
