--- a/packages/amaranthknot/src/bill-copy-parts.ts
+++ b/packages/amaranthknot/src/bill-copy-wiring.ts
@@ -2,10 +2,10 @@
 import * as decisions from '@amaranthknot/decisions';
 import * as ledger from '@amaranthknot/ledger';
 import * as protocol from '@amaranthknot/protocol';
-import type * as instanceTokens from './instance-tokens.js';
+import type * as instanceComponents from './instance-components.js';
 
 /** Copies of a pending bill that survive the loss of an instance and a zone. */
-export const BILL_COPIES = 2;
+export const BILL_COPY_QUORUM = 2;
 
 /** Time for one message, in milliseconds; below the keeper's own limit. */
 const MESSAGE_TIMEOUT_MS = 250;
@@ -21,10 +21,10 @@
 const RESTART_STEP_MS = 1_000;
 
 /** Identity of one start of an instance: its id and when it started. */
-export const nameIncarnation = (id: string, startedMs: number): string =>
+export const formatIncarnation = (id: string, startedMs: number): string =>
   `${id}.${startedMs}`;
 
-const splitIncarnation = (
+const parseIncarnation = (
   incarnation: string,
 ): {readonly id: string; readonly startedMs: number} => {
   const end = incarnation.lastIndexOf('.');
@@ -35,7 +35,7 @@
 };
 
 const findPeer = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
   id: string,
 ): protocol.Peer | undefined =>
   get('peers')
@@ -44,7 +44,7 @@
 
 /** Live peers in other zones, ranked for this instance. */
 const listCandidates = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
 ): readonly ledger.ReplicaCandidate[] => {
   const {id, zone} = get('peers').self();
   const live = get('peers')
@@ -57,17 +57,17 @@
     .map(found => byId.get(found))
     .filter(peer => peer !== undefined)
     .map(peer => ({
-      id: nameIncarnation(peer.id, peer.incarnation),
+      id: formatIncarnation(peer.id, peer.incarnation),
       zone: peer.zone,
     }));
 };
 
-const send = async (
-  get: instanceTokens.Resolve,
+const sendCopies = async (
+  get: instanceComponents.InstanceResolver,
   candidate: string,
   batch: ledger.CopyBatch,
 ): Promise<boolean> => {
-  const peer = findPeer(get, splitIncarnation(candidate).id);
+  const peer = findPeer(get, parseIncarnation(candidate).id);
   if (!peer) {
     return false;
   }
@@ -89,18 +89,18 @@
 
 /** Creates the copies of this instance's bills on peers. */
 export const createPeerCopies = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
 ): ledger.PeerCopies =>
   new ledger.PeerCopies({
-    quorum: BILL_COPIES,
+    quorum: BILL_COPY_QUORUM,
     candidates: () => listCandidates(get),
-    send: (candidate, batch) => send(get, candidate, batch),
+    send: (candidate, batch) => sendCopies(get, candidate, batch),
     pending: () => get('bills').pending(),
   });
 
 /** Takes copies from a peer; answers how many are held. */
-export const holdCopies = (
-  get: instanceTokens.Resolve,
+export const storeCopies = (
+  get: instanceComponents.InstanceResolver,
   params: protocol.Params<'copy_bills'>,
 ): protocol.Result<'copy_bills'> => {
   const bills = params.bills as readonly ledger.PendingBill[];
@@ -110,8 +110,11 @@
 };
 
 /** Whether the start of an instance that left copies here is over. */
-const isDead = (get: instanceTokens.Resolve, incarnation: string): boolean => {
-  const {id, startedMs} = splitIncarnation(incarnation);
+const isDead = (
+  get: instanceComponents.InstanceResolver,
+  incarnation: string,
+): boolean => {
+  const {id, startedMs} = parseIncarnation(incarnation);
   const peer = findPeer(get, id);
   return (
     peer?.state === 'dead' ||
@@ -120,8 +123,8 @@
 };
 
 /** Renews this instance's copies and recovers bills of dead ones. */
-export const tendCopies = async (
-  get: instanceTokens.Resolve,
+export const maintainCopies = async (
+  get: instanceComponents.InstanceResolver,
 ): Promise<void> => {
   await get('peerCopies').changeMembership(get('incarnation'));
   const recovered = await get('copyHolder').recoverDead(
--- a/packages/amaranthknot/src/commands/apply.ts
+++ b/packages/amaranthknot/src/commands/apply.ts
@@ -4,11 +4,11 @@
 import * as purify from 'purify-ts';
 import type * as command from '../command.js';
 import * as createCommand from '../operator/create-command.js';
-import * as inForce from '../operator/in-force.js';
-import type * as operations from '../operator/operations.js';
+import * as activeDocument from '../operator/active-document.js';
+import type * as operatorConnection from '../operator/operator-connection.js';
 import * as outcome from '../operator/outcome.js';
-import * as returns from '../operator/refuse-returns.js';
-import * as waits from '../operator/wait-everywhere.js';
+import * as checkReactivations from '../operator/check-reactivations.js';
+import * as waitForInstances from '../operator/wait-for-instances.js';
 import * as check from './check.js';
 
 const HELP = `
@@ -26,7 +26,7 @@
     --generation N   only when generation N is in force; 0 for none yet
     --bring-back     bring back what is out of use
     --wait           wait until it is in force on all entry instances
-    --wait-ms N      longest wait, ${waits.DEFAULT_WAIT_MS} by default
+    --wait-ms N      longest wait, ${waitForInstances.DEFAULT_WAIT_MS} by default
     --json           one line of JSON
 
   Example
@@ -40,7 +40,7 @@
 `;
 
 const FLAGS = {
-  ...waits.WAIT_FLAGS,
+  ...waitForInstances.WAIT_FLAGS,
   generation: {type: 'number'},
   bringBack: {type: 'boolean'},
 } as const;
@@ -55,9 +55,9 @@
 const publish = async (
   context: Context,
   document: configuration.Document,
-  before: inForce.InForce | undefined,
+  before: activeDocument.ActiveDocument | undefined,
 ): Promise<purify.Either<outcome.Failure, Applied>> => {
-  const {operations: reached, environment, given} = context;
+  const {connection: reached, environment, given} = context;
   const expected = given.flags.generation ?? before?.generation ?? 0;
   const published = await membership.publishDocument(
     reached.store,
@@ -70,42 +70,46 @@
       ? []
       : configuration.diffDocuments(before.document, document);
   return published
-    .mapLeft(inForce.describePublishError)
+    .mapLeft(activeDocument.describePublishError)
     .map(publication => ({publication, changes}));
 };
 
 const finish = async (
-  {operations: reached, environment, given, showProgress}: Context,
+  {connection: reached, environment, given, showProgress}: Context,
   {publication, changes}: Applied,
 ): Promise<createCommand.Result> => {
   const {generation, digest} = publication;
-  const waited = await waits.waitEverywhere(reached, {
+  const waited = await waitForInstances.waitForInstances(reached, {
     environment,
     generation,
-    choice: given.flags,
+    flags: given.flags,
     showProgress,
   });
   return waited.map(instances => ({
     lines: [
       ...changes.map(configuration.formatChange),
       `${environment}: generation ${generation}, digest ${digest}`,
-      ...waits.formatWaited(instances),
+      ...waitForInstances.formatWaitResult(instances),
     ],
     json: {environment, generation, digest, changes, instances},
   }));
 };
 
 const act = async (context: Context): Promise<createCommand.Result> => {
-  const {operations: reached, environment, given, readFile} = context;
+  const {connection: reached, environment, given, readFile} = context;
   const [file = ''] = given.inputs;
   const document = check.readDocument(file, readFile);
   if (document.isLeft()) {
     return document;
   }
   const after = document.unsafeCoerce();
-  const before = await inForce.findInForce(reached.store, environment);
+  const before = await activeDocument.findActive(reached.store, environment);
   const allowed = before.chain(found =>
-    returns.refuseReturns(found?.document, after, given.flags.bringBack),
+    checkReactivations.checkReactivations(
+      found?.document,
+      after,
+      given.flags.bringBack,
+    ),
   );
   if (allowed.isLeft()) {
     return allowed;
@@ -115,7 +119,9 @@
 };
 
 /** Creates the command. */
-export const createApply = (connect: operations.Connect): command.Command =>
+export const createApply = (
+  connect: operatorConnection.Connect,
+): command.Command =>
   createCommand.createOperatorCommand(
     {
       summary: 'put a document in force for an environment',
--- a/packages/amaranthknot/src/commands/check.ts
+++ b/packages/amaranthknot/src/commands/check.ts
@@ -2,7 +2,7 @@
 import * as configuration from '@amaranthknot/configuration';
 import type * as command from '../command.js';
 import * as createCommand from '../operator/create-command.js';
-import * as operations from '../operator/operations.js';
+import * as operatorConnection from '../operator/operator-connection.js';
 import * as outcome from '../operator/outcome.js';
 
 const HELP = `
@@ -47,8 +47,11 @@
 };
 
 /** Reads and checks a document for a command. */
-export const readDocument = (file: string, readFile: operations.ReadFile) =>
-  operations
+export const readDocument = (
+  file: string,
+  readFile: operatorConnection.ReadFile,
+) =>
+  operatorConnection
     .readText(file, readFile)
     .chain(text =>
       configuration
--- a/packages/amaranthknot/src/commands/demo-requests.ts
+++ b/packages/amaranthknot/src/commands/demo-requests.ts
@@ -1,12 +1,12 @@
 /** The requests of the demo, and what must come of each. */
 import * as wreck from '@hapi/wreck';
-import * as standIns from '@amaranthknot/fakes';
+import * as fakes from '@amaranthknot/fakes';
 
 /** Key of the workspace that the demo calls as; see examples/meetups.toml. */
 const KEY = 'meetups-example-key-tamaki-newcomers';
 
 /** Bills of the demo: two plain answers, one stream, one booking. */
-export const BILLS_EXPECTED = 4;
+export const EXPECTED_BILLS = 4;
 
 /** What came of one request. */
 export interface DemoResult {
@@ -89,7 +89,7 @@
 
 const bookTwice = async (
   addresses: readonly string[],
-  running: standIns.StandIns,
+  running: fakes.StandIns,
 ): Promise<DemoResult> => {
   const headers = {'idempotency-key': 'seat-12-moana'};
   const book = (address: string) =>
@@ -109,7 +109,7 @@
 /** Sends all requests, one after the other, over different instances. */
 export const sendRequests = async (
   addresses: readonly string[],
-  running: standIns.StandIns,
+  running: fakes.StandIns,
 ): Promise<readonly DemoResult[]> => {
   const [first = '', second = '', third = ''] = addresses;
   return [
@@ -117,7 +117,7 @@
     await askPlain(
       second,
       'escalates to a capable stage',
-      `a ${standIns.HARD_WORD} question`,
+      `a ${fakes.HARD_WORD} question`,
       /medium|large/,
     ),
     await askStreamed(third),
--- a/packages/amaranthknot/src/commands/demo.ts
+++ b/packages/amaranthknot/src/commands/demo.ts
@@ -4,13 +4,13 @@
  */
 import * as fs from 'node:fs';
 import * as configuration from '@amaranthknot/configuration';
-import * as standIns from '@amaranthknot/fakes';
+import * as fakes from '@amaranthknot/fakes';
 import * as ledger from '@amaranthknot/ledger';
 import * as ports from '@amaranthknot/ports';
 import * as telemetry from '@amaranthknot/telemetry';
 import type * as command from '../command.js';
 import * as readFlags from '../read-flags.js';
-import * as embedded from '../embedded-deployment.js';
+import * as embeddedDeployment from '../embedded-deployment.js';
 import type * as entryInstance from '../entry-instance.js';
 import * as demoRatings from './demo-ratings.js';
 import * as demoRequests from './demo-requests.js';
@@ -42,12 +42,12 @@
 
 /** Waits until every bill is in the object API. */
 const readBills = async (
-  running: standIns.StandIns,
+  running: fakes.StandIns,
   instances: readonly entryInstance.EntryInstance[],
 ): Promise<ledger.BillSummary> => {
   const deadline = ports.systemClock.now() + BILLS_WAIT_MS;
   const flushAll = () =>
-    Promise.all(instances.map(instance => instance.parts('bills').flush()));
+    Promise.all(instances.map(instance => instance.resolve('bills').flush()));
   while (
     (await flushAll()).includes(false) &&
     ports.systemClock.now() < deadline
@@ -77,7 +77,7 @@
     streams.out(row([bill.identity, model, cost, String(bill.tokens)]));
   }
   const billed = bills.bills.length;
-  const expected = demoRequests.BILLS_EXPECTED;
+  const expected = demoRequests.EXPECTED_BILLS;
   const isBilledOnce = billed === expected && bills.duplicates === 0;
   streams.out(
     `\n${billed} bills for ${expected} answered requests, ` +
@@ -104,31 +104,29 @@
   const document = configuration
     .parseDocument(text, flags.document)
     .unsafeCoerce();
-  const listed = standIns.parseInstances(
-    fs.readFileSync(flags.instances, 'utf8'),
-  );
-  const deployment = await embedded.startEmbedded({
+  const listed = fakes.parseInstances(fs.readFileSync(flags.instances, 'utf8'));
+  const deployment = await embeddedDeployment.startEmbedded({
     environment: ENVIRONMENT,
     document,
     upstreams: listed,
     zones: ZONES,
     createRandom: demoRatings.createDemoRandom,
   });
-  const {instances, addresses, standIns: running} = deployment;
+  const {instances, addresses, fakes: running} = deployment;
   for (const instance of instances) {
-    demoRatings.rateAnswers(instance.parts('cascades'));
+    demoRatings.rateAnswers(instance.resolve('cascades'));
   }
   const results = await demoRequests.sendRequests(addresses, running);
   const bills = await readBills(running, instances);
-  const holds = printReport(streams, results, bills);
+  const passed = printReport(streams, results, bills);
   if (flags.timeline) {
-    const rings = instances.map(instance => instance.parts('events').read());
+    const rings = instances.map(instance => instance.resolve('events').read());
     for (const event of telemetry.mergeTimelines(rings)) {
       streams.out(`${telemetry.formatEvent(event)}\n`);
     }
   }
   await deployment.stop();
-  return holds ? 0 : 1;
+  return passed ? 0 : 1;
 };
 
 /** The command. */
--- a/packages/amaranthknot/src/commands/diff.ts
+++ b/packages/amaranthknot/src/commands/diff.ts
@@ -2,8 +2,8 @@
 import * as configuration from '@amaranthknot/configuration';
 import type * as command from '../command.js';
 import * as createCommand from '../operator/create-command.js';
-import * as inForce from '../operator/in-force.js';
-import type * as operations from '../operator/operations.js';
+import * as activeDocument from '../operator/active-document.js';
+import type * as operatorConnection from '../operator/operator-connection.js';
 import type * as outcome from '../operator/outcome.js';
 import * as check from './check.js';
 
@@ -39,7 +39,7 @@
 
 const describe = (
   environment: string,
-  before: inForce.InForce | undefined,
+  before: activeDocument.ActiveDocument | undefined,
   after: configuration.Document,
 ): outcome.Success => {
   const changes = configuration.diffDocuments(before?.document ?? EMPTY, after);
@@ -52,19 +52,24 @@
 };
 
 /** Creates the command. */
-export const createDiff = (connect: operations.Connect): command.Command =>
+export const createDiff = (
+  connect: operatorConnection.Connect,
+): command.Command =>
   createCommand.createOperatorCommand(
     {
       summary: 'show what a document would change',
       help: HELP,
       syntax: {inputs: ['DOC'], flags: {}},
-      act: async ({operations: reached, environment, given, readFile}) => {
+      act: async ({connection: reached, environment, given, readFile}) => {
         const [file = ''] = given.inputs;
         const document = check.readDocument(file, readFile);
         if (document.isLeft()) {
           return document;
         }
-        const before = await inForce.findInForce(reached.store, environment);
+        const before = await activeDocument.findActive(
+          reached.store,
+          environment,
+        );
         return before.chain(found =>
           document.map(after => describe(environment, found, after)),
         );
--- a/packages/amaranthknot/src/commands/entry-instances.ts
+++ b/packages/amaranthknot/src/commands/entry-instances.ts
@@ -2,9 +2,9 @@
 import type * as ports from '@amaranthknot/ports';
 import type * as command from '../command.js';
 import * as createCommand from '../operator/create-command.js';
-import type * as operations from '../operator/operations.js';
+import type * as operatorConnection from '../operator/operator-connection.js';
 import type * as outcome from '../operator/outcome.js';
-import * as waits from '../operator/wait-everywhere.js';
+import * as waitForInstances from '../operator/wait-for-instances.js';
 
 const HELP = `
   Lists the entry instances that the platform knows, which lags by seconds:
@@ -43,16 +43,18 @@
 
 /** Creates the command. */
 export const createEntryInstances = (
-  connect: operations.Connect,
+  connect: operatorConnection.Connect,
 ): command.Command =>
   createCommand.createOperatorCommand(
     {
       summary: 'list the entry instances',
       help: HELP,
       syntax: {inputs: [], flags: {zone: {type: 'string'}}},
-      act: async ({operations: reached, given}) => {
+      act: async ({connection: reached, given}) => {
         const {zone} = given.flags;
-        const listed = await waits.listEntryInstances(reached.instances);
+        const listed = await waitForInstances.listEntryInstances(
+          reached.instances,
+        );
         return listed
           .map(all =>
             all.filter(each => zone === undefined || each.zone === zone),
--- a/packages/amaranthknot/src/commands/operator-commands.ts
+++ b/packages/amaranthknot/src/commands/operator-commands.ts
@@ -9,11 +9,11 @@
 import * as status from './status.js';
 import * as timeline from './timeline.js';
 import * as zone from './zone.js';
-import * as operations from '../operator/operations.js';
+import * as operatorConnection from '../operator/operator-connection.js';
 
 /** Creates the operators' commands over a way to reach the platform. */
 export const createOperatorCommands = (
-  connect: operations.Connect,
+  connect: operatorConnection.Connect,
 ): Readonly<Record<string, command.Command>> => ({
   apply: apply.createApply(connect),
   check: check.check,
@@ -27,4 +27,6 @@
 });
 
 /** The commands over HTTP. */
-export const operatorCommands = createOperatorCommands(operations.connect);
+export const operatorCommands = createOperatorCommands(
+  operatorConnection.connect,
+);
--- a/packages/amaranthknot/src/commands/promote.ts
+++ b/packages/amaranthknot/src/commands/promote.ts
@@ -4,11 +4,11 @@
 import * as purify from 'purify-ts';
 import type * as command from '../command.js';
 import * as createCommand from '../operator/create-command.js';
-import * as inForce from '../operator/in-force.js';
-import type * as operations from '../operator/operations.js';
+import * as activeDocument from '../operator/active-document.js';
+import type * as operatorConnection from '../operator/operator-connection.js';
 import * as outcome from '../operator/outcome.js';
-import * as returns from '../operator/refuse-returns.js';
-import * as waits from '../operator/wait-everywhere.js';
+import * as checkReactivations from '../operator/check-reactivations.js';
+import * as waitForInstances from '../operator/wait-for-instances.js';
 
 const HELP = `
   Puts in force for one environment what is in force for another, unchanged:
@@ -27,7 +27,7 @@
     --bring-back     bring back what is out of use
     --wait           wait until it is in force on all entry instances; the
                      instances are those of the settings' platform
-    --wait-ms N      longest wait, ${waits.DEFAULT_WAIT_MS} by default
+    --wait-ms N      longest wait, ${waitForInstances.DEFAULT_WAIT_MS} by default
     --json           one line of JSON
 
   Example
@@ -41,7 +41,7 @@
 `;
 
 const FLAGS = {
-  ...waits.WAIT_FLAGS,
+  ...waitForInstances.WAIT_FLAGS,
   from: {type: 'string'},
   to: {type: 'string'},
   digest: {type: 'string'},
@@ -51,17 +51,17 @@
 type Context = createCommand.OperatorContext<typeof FLAGS>;
 
 interface Pair {
-  readonly source: inForce.InForce;
-  readonly target: inForce.InForce | undefined;
+  readonly source: activeDocument.ActiveDocument;
+  readonly target: activeDocument.ActiveDocument | undefined;
 }
 
 const readPair = async (
-  {store}: operations.Operations,
+  {store}: operatorConnection.OperatorConnection,
   from: string,
   to: string,
 ): Promise<purify.Either<outcome.Failure, Pair>> => {
-  const source = await inForce.readInForce(store, from);
-  const target = await inForce.findInForce(store, to);
+  const source = await activeDocument.readActive(store, from);
+  const target = await activeDocument.findActive(store, to);
   return source.chain(tried =>
     target.map(found => ({source: tried, target: found})),
   );
@@ -73,7 +73,7 @@
   from: string,
   to: string,
 ): Promise<createCommand.Result> => {
-  const {operations: reached, given, showProgress} = context;
+  const {connection: reached, given, showProgress} = context;
   const promoted = await membership.promoteDocument(
     reached.store,
     from,
@@ -82,13 +82,13 @@
     {expectedGeneration: target?.generation ?? 0},
   );
   if (promoted.isLeft()) {
-    return promoted.mapLeft(inForce.describePublishError);
+    return promoted.mapLeft(activeDocument.describePublishError);
   }
   const {generation, digest} = promoted.unsafeCoerce();
-  const waited = await waits.waitEverywhere(reached, {
+  const waited = await waitForInstances.waitForInstances(reached, {
     environment: to,
     generation,
-    choice: given.flags,
+    flags: given.flags,
     showProgress,
   });
   const changes = target
@@ -98,7 +98,7 @@
     lines: [
       ...changes.map(configuration.formatChange),
       `${to}: generation ${generation}, digest ${digest}, as in ${from}`,
-      ...waits.formatWaited(instances),
+      ...waitForInstances.formatWaitResult(instances),
     ],
     json: {from, to, generation, digest, changes, instances},
   }));
@@ -108,11 +108,15 @@
   const {from, to, bringBack} = context.given.flags;
   if (from === undefined || to === undefined || from === to) {
     const message = 'needs --from E and --to E, two environments; see --help';
-    return purify.Left(outcome.fail('usage', message));
+    return purify.Left(outcome.createFailure('usage', message));
   }
-  const read = await readPair(context.operations, from, to);
+  const read = await readPair(context.connection, from, to);
   const allowed = read.chain(({source, target}) =>
-    returns.refuseReturns(target?.document, source.document, bringBack),
+    checkReactivations.checkReactivations(
+      target?.document,
+      source.document,
+      bringBack,
+    ),
   );
   return allowed.isLeft()
     ? allowed
@@ -120,7 +124,9 @@
 };
 
 /** Creates the command. */
-export const createPromote = (connect: operations.Connect): command.Command =>
+export const createPromote = (
+  connect: operatorConnection.Connect,
+): command.Command =>
   createCommand.createOperatorCommand(
     {
       summary: 'put what was tried in one environment in force for another',
--- a/packages/amaranthknot/src/commands/rollout.ts
+++ b/packages/amaranthknot/src/commands/rollout.ts
@@ -2,12 +2,12 @@
 import type * as configuration from '@amaranthknot/configuration';
 import * as purify from 'purify-ts';
 import type * as command from '../command.js';
-import * as changes from '../operator/change-and-wait.js';
+import * as changeAndWait from '../operator/change-and-wait.js';
 import * as createCommand from '../operator/create-command.js';
-import * as inForce from '../operator/in-force.js';
-import type * as operations from '../operator/operations.js';
+import * as activeDocument from '../operator/active-document.js';
+import type * as operatorConnection from '../operator/operator-connection.js';
 import * as outcome from '../operator/outcome.js';
-import * as waits from '../operator/wait-everywhere.js';
+import * as waitForInstances from '../operator/wait-for-instances.js';
 
 const HELP = `
   Shows what the document in force asks of roll-outs, or changes it, again when
@@ -30,7 +30,7 @@
     --settings FILE  settings of any instance; they say where the platform is
     --environment E  the settings' environment by default
     --wait           wait until it is in force on all entry instances
-    --wait-ms N      longest wait, ${waits.DEFAULT_WAIT_MS} by default
+    --wait-ms N      longest wait, ${waitForInstances.DEFAULT_WAIT_MS} by default
     --json           one line of JSON
 
   Example
@@ -79,8 +79,11 @@
 });
 
 /** An edit that sets the state of a roll-out. */
-export const setRollout =
-  (model: string, state: configuration.RolloutState): inForce.Edit =>
+export const setRolloutState =
+  (
+    model: string,
+    state: configuration.RolloutState,
+  ): activeDocument.DocumentEdit =>
   document =>
     findRollout(document, model).map(found => ({
       ...document,
@@ -100,12 +103,12 @@
 
 const showStatus = async (
   {
-    operations: reached,
+    connection: reached,
     environment,
-  }: createCommand.OperatorContext<typeof waits.WAIT_FLAGS>,
+  }: createCommand.OperatorContext<typeof waitForInstances.WAIT_FLAGS>,
   model: string | undefined,
 ): Promise<createCommand.Result> => {
-  const read = await inForce.readInForce(reached.store, environment);
+  const read = await activeDocument.readActive(reached.store, environment);
   return read.chain(({document, generation}) => {
     const shown =
       model === undefined
@@ -122,7 +125,7 @@
 };
 
 const act = async (
-  context: createCommand.OperatorContext<typeof waits.WAIT_FLAGS>,
+  context: createCommand.OperatorContext<typeof waitForInstances.WAIT_FLAGS>,
 ): Promise<createCommand.Result> => {
   const [action = '', model] = context.given.inputs;
   if (action === 'status') {
@@ -133,18 +136,25 @@
     return purify.Left(outcome.describeUnknownName('action', action, ACTIONS));
   }
   if (model === undefined) {
-    return purify.Left(outcome.fail('usage', 'needs MODEL; see --help'));
+    return purify.Left(
+      outcome.createFailure('usage', 'needs MODEL; see --help'),
+    );
   }
-  return changes.changeAndWait(context, setRollout(model, state));
+  return changeAndWait.changeAndWait(context, setRolloutState(model, state));
 };
 
 /** Creates the command. */
-export const createRollout = (connect: operations.Connect): command.Command =>
+export const createRollout = (
+  connect: operatorConnection.Connect,
+): command.Command =>
   createCommand.createOperatorCommand(
     {
       summary: 'show roll-outs, and pause, resume or withdraw one',
       help: HELP,
-      syntax: {inputs: ['an action', '[MODEL]'], flags: waits.WAIT_FLAGS},
+      syntax: {
+        inputs: ['an action', '[MODEL]'],
+        flags: waitForInstances.WAIT_FLAGS,
+      },
       act,
     },
     connect,
--- a/packages/amaranthknot/src/commands/status.ts
+++ b/packages/amaranthknot/src/commands/status.ts
@@ -2,10 +2,10 @@
 import * as membership from '@amaranthknot/membership';
 import type * as command from '../command.js';
 import * as createCommand from '../operator/create-command.js';
-import * as inForce from '../operator/in-force.js';
-import type * as operations from '../operator/operations.js';
+import * as activeDocument from '../operator/active-document.js';
+import type * as operatorConnection from '../operator/operator-connection.js';
 import type * as outcome from '../operator/outcome.js';
-import * as waits from '../operator/wait-everywhere.js';
+import * as waitForInstances from '../operator/wait-for-instances.js';
 
 const HELP = `
   Prints what is in force for an environment, its availability zones and
@@ -29,7 +29,7 @@
 
 const describe = (
   environment: string,
-  {generation, digest, document}: inForce.InForce,
+  {generation, digest, document}: activeDocument.ActiveDocument,
   reports: readonly membership.GenerationReport[],
 ): outcome.Success => {
   const {zones, rollouts} = document;
@@ -43,7 +43,7 @@
           `roll-out of ${model}: ${from} -> ${to}, ${state}`,
       ),
       `in force on ${current.length} of ${reports.length} instances`,
-      ...reports.map(waits.formatReport),
+      ...reports.map(waitForInstances.formatReport),
     ],
     json: {
       environment,
@@ -57,15 +57,22 @@
 };
 
 /** Creates the command. */
-export const createStatus = (connect: operations.Connect): command.Command =>
+export const createStatus = (
+  connect: operatorConnection.Connect,
+): command.Command =>
   createCommand.createOperatorCommand(
     {
       summary: 'show what is in force, and on which instances',
       help: HELP,
       syntax: {inputs: [], flags: {}},
-      act: async ({operations: reached, environment, showProgress}) => {
-        const read = await inForce.readInForce(reached.store, environment);
-        const listed = await waits.listEntryInstances(reached.instances);
+      act: async ({connection: reached, environment, showProgress}) => {
+        const read = await activeDocument.readActive(
+          reached.store,
+          environment,
+        );
+        const listed = await waitForInstances.listEntryInstances(
+          reached.instances,
+        );
         const instances = listed.orDefault([]);
         showProgress(`asking ${instances.length} instances`);
         const reports = await membership.collectGenerations(
--- a/packages/amaranthknot/src/commands/timeline.ts
+++ b/packages/amaranthknot/src/commands/timeline.ts
@@ -5,9 +5,9 @@
 import * as telemetry from '@amaranthknot/telemetry';
 import type * as command from '../command.js';
 import * as createCommand from '../operator/create-command.js';
-import type * as operations from '../operator/operations.js';
+import type * as operatorConnection from '../operator/operator-connection.js';
 import * as outcome from '../operator/outcome.js';
-import * as waits from '../operator/wait-everywhere.js';
+import * as waitForInstances from '../operator/wait-for-instances.js';
 
 const HELP = `
   Collects the events that all entry instances still hold, merges them so that
@@ -54,7 +54,7 @@
 
 /** Events of one instance, or undefined when it does not answer. */
 const collect = async (
-  reached: operations.Operations,
+  reached: operatorConnection.OperatorConnection,
   address: string,
 ): Promise<readonly telemetry.TimelineEvent[] | undefined> => {
   const events: telemetry.TimelineEvent[] = [];
@@ -95,17 +95,21 @@
   purify.Either.encase(() => {
     const picture = telemetry.drawTimeline(events, telemetry.formatEvent);
     fs.writeFileSync(file, picture);
-  }).mapLeft(error => outcome.fail('unreadable_file', error.message));
+  }).mapLeft(error => outcome.createFailure('unreadable_file', error.message));
 
 /** Creates the command. */
-export const createTimeline = (connect: operations.Connect): command.Command =>
+export const createTimeline = (
+  connect: operatorConnection.Connect,
+): command.Command =>
   createCommand.createOperatorCommand(
     {
       summary: 'show the events of all instances',
       help: HELP,
       syntax: {inputs: [], flags: FLAGS},
-      act: async ({operations: reached, given, showProgress}) => {
-        const listed = await waits.listEntryInstances(reached.instances);
+      act: async ({connection: reached, given, showProgress}) => {
+        const listed = await waitForInstances.listEntryInstances(
+          reached.instances,
+        );
         if (listed.isLeft()) {
           return listed;
         }
--- a/packages/amaranthknot/src/commands/zone.ts
+++ b/packages/amaranthknot/src/commands/zone.ts
@@ -2,12 +2,12 @@
 import type * as configuration from '@amaranthknot/configuration';
 import * as purify from 'purify-ts';
 import type * as command from '../command.js';
-import * as changes from '../operator/change-and-wait.js';
+import * as changeAndWait from '../operator/change-and-wait.js';
 import * as createCommand from '../operator/create-command.js';
-import type * as inForce from '../operator/in-force.js';
-import type * as operations from '../operator/operations.js';
+import type * as activeDocument from '../operator/active-document.js';
+import type * as operatorConnection from '../operator/operator-connection.js';
 import * as outcome from '../operator/outcome.js';
-import * as waits from '../operator/wait-everywhere.js';
+import * as waitForInstances from '../operator/wait-for-instances.js';
 
 const HELP = `
   Takes an availability zone out, so that it gets no new work, or brings it
@@ -22,7 +22,7 @@
     --settings FILE  settings of any instance; they say where the platform is
     --environment E  the settings' environment by default
     --wait           wait until it is in force on all entry instances
-    --wait-ms N      longest wait, ${waits.DEFAULT_WAIT_MS} by default
+    --wait-ms N      longest wait, ${waitForInstances.DEFAULT_WAIT_MS} by default
     --json           one line of JSON
 
   Example
@@ -37,8 +37,8 @@
 const ACTIONS: readonly string[] = ['in', 'out'];
 
 /** An edit that sets the state of a zone. */
-export const setZone =
-  (name: string, state: configuration.ZoneState): inForce.Edit =>
+export const setZoneState =
+  (name: string, state: configuration.ZoneState): activeDocument.DocumentEdit =>
   document => {
     const names = document.zones.map(zone => zone.name);
     if (!names.includes(name)) {
@@ -51,12 +51,17 @@
   };
 
 /** Creates the command. */
-export const createZone = (connect: operations.Connect): command.Command =>
+export const createZone = (
+  connect: operatorConnection.Connect,
+): command.Command =>
   createCommand.createOperatorCommand(
     {
       summary: 'take an availability zone out, or bring it in',
       help: HELP,
-      syntax: {inputs: ['out or in', 'NAME'], flags: waits.WAIT_FLAGS},
+      syntax: {
+        inputs: ['out or in', 'NAME'],
+        flags: waitForInstances.WAIT_FLAGS,
+      },
       act: async context => {
         const [action = '', name = ''] = context.given.inputs;
         if (action !== 'in' && action !== 'out') {
@@ -64,7 +69,7 @@
             outcome.describeUnknownName('action', action, ACTIONS),
           );
         }
-        return changes.changeAndWait(context, setZone(name, action));
+        return changeAndWait.changeAndWait(context, setZoneState(name, action));
       },
     },
     connect,
--- a/packages/amaranthknot/src/embedded-deployment.ts
+++ b/packages/amaranthknot/src/embedded-deployment.ts
@@ -6,7 +6,7 @@
 import * as net from 'node:net';
 import * as configuration from '@amaranthknot/configuration';
 import type * as decisions from '@amaranthknot/decisions';
-import * as standIns from '@amaranthknot/fakes';
+import * as fakes from '@amaranthknot/fakes';
 import * as membership from '@amaranthknot/membership';
 import * as ports from '@amaranthknot/ports';
 import * as entryInstance from './entry-instance.js';
@@ -30,7 +30,7 @@
 
 /** A running deployment. */
 export interface EmbeddedDeployment {
-  readonly standIns: standIns.StandIns;
+  readonly fakes: fakes.StandIns;
   readonly instances: readonly entryInstance.EntryInstance[];
   /** `ip:port` of each entry instance. */
   readonly addresses: readonly string[];
@@ -79,13 +79,13 @@
 const READY_WAIT_MS = 10_000;
 
 /** Waits until all instances take work, or the wait is over. */
-const waitReady = async (
+const waitUntilReady = async (
   instances: readonly entryInstance.EntryInstance[],
 ): Promise<void> => {
   const clock = ports.systemClock;
   const end = clock.now() + READY_WAIT_MS;
   const isReady = () =>
-    instances.every(instance => instance.parts('follower').mayTakeWork());
+    instances.every(instance => instance.resolve('follower').mayTakeWork());
   while (!isReady() && clock.now() < end) {
     await clock.sleep(10);
   }
@@ -95,7 +95,7 @@
 export const startEmbedded = async (
   options: EmbeddedOptions,
 ): Promise<EmbeddedDeployment> => {
-  const running = await standIns.startStandIns({
+  const running = await fakes.startStandIns({
     clock: ports.systemClock,
     instances: options.upstreams,
     freePorts: true,
@@ -149,9 +149,9 @@
     });
   });
   await Promise.all(instances.map(instance => instance.start()));
-  await waitReady(instances);
+  await waitUntilReady(instances);
   return {
-    standIns: running,
+    fakes: running,
     instances,
     addresses,
     operatorKey,
--- a/packages/amaranthknot/src/entry-instance.ts
+++ b/packages/amaranthknot/src/entry-instance.ts
@@ -1,12 +1,12 @@
 /** One running entry instance: its parts, its loops, its planned stop. */
 import * as entry from '@amaranthknot/entry';
 import * as ledger from '@amaranthknot/ledger';
-import * as billCopyParts from './bill-copy-parts.js';
-import * as instanceParts from './instance-parts.js';
-import type * as instanceTokens from './instance-tokens.js';
+import * as billCopyWiring from './bill-copy-wiring.js';
+import * as instanceWiring from './instance-wiring.js';
+import type * as instanceComponents from './instance-components.js';
 import type * as instanceOptions from './instance-options.js';
 import * as loadPoller from './load-poller.js';
-import * as rolloutParts from './rollout-parts.js';
+import * as rolloutWiring from './rollout-wiring.js';
 
 /** How often the platform's instance list is read, in milliseconds. */
 const LIST_INTERVAL_MS = 2_000;
@@ -21,28 +21,28 @@
 const RATING_INTERVAL_MS = 1_000;
 
 /** Longest time to write bills at a planned stop, in milliseconds. */
-const DRAIN_BILLS_MS = 5_000;
+const BILL_DRAIN_TIMEOUT_MS = 5_000;
 
 /** How often a planned stop looks whether its requests are done, in ms. */
-const DRAIN_CHECK_MS = 50;
+const DRAIN_CHECK_INTERVAL_MS = 50;
 
 /** Longest wait for one load report, in milliseconds. */
 const REPORT_TIMEOUT_MS = 1_000;
 
 /** An entry instance. */
 export class EntryInstance {
-  private readonly get: instanceTokens.Resolve;
+  private readonly get: instanceComponents.InstanceResolver;
   private readonly stopping = new AbortController();
   /** Names of the roll-out duties that this instance competes for. */
   private readonly rollouts = new Set<string>();
   private loops: Promise<unknown> = Promise.resolve();
 
   constructor(private readonly options: instanceOptions.InstanceOptions) {
-    this.get = instanceParts.wireParts(options);
+    this.get = instanceWiring.wireInstance(options);
   }
 
   /** Resolves one part, for tests and the demo. */
-  get parts(): instanceTokens.Resolve {
+  get resolve(): instanceComponents.InstanceResolver {
     return this.get;
   }
 
@@ -68,9 +68,9 @@
         loadPoller.pollLoad(get('directory'), get('warmUp'), reports),
       ),
       this.repeat(entry.ASK_INTERVAL_MS, () => get('warmUp').askForGrants()),
-      this.repeat(COPIES_INTERVAL_MS, () => billCopyParts.tendCopies(get)),
+      this.repeat(COPIES_INTERVAL_MS, () => billCopyWiring.maintainCopies(get)),
       this.repeat(entry.SHARES_INTERVAL_MS, () =>
-        rolloutParts.followRollouts(get, this.rollouts),
+        rolloutWiring.updateRolloutTasks(get, this.rollouts),
       ),
       this.repeat(RATING_INTERVAL_MS, () => this.exchangeRatings()),
       this.repeat(SETTLE_INTERVAL_MS, () => get('claims').settleVoid()),
@@ -99,7 +99,7 @@
     await get('follower').announceLeaving();
     await clock.sleep(addressMaxAgeMs);
     while (get('server').inProgress > 0 && clock.now() < deadline) {
-      await clock.sleep(DRAIN_CHECK_MS);
+      await clock.sleep(DRAIN_CHECK_INTERVAL_MS);
     }
     await get('server').stop();
     const drained = await ledger.drainLedger({
@@ -107,7 +107,7 @@
       random: Math.random,
       bills: get('bills'),
       holder: get('copyHolder'),
-      timeoutMs: DRAIN_BILLS_MS,
+      timeoutMs: BILL_DRAIN_TIMEOUT_MS,
     });
     if (!drained) {
       get('logger').warn('bills are left to the peers that hold copies');
--- a/packages/amaranthknot/src/gateway/fleet-watch.ts
+++ b/packages/amaranthknot/src/gateway/fleet-change-logger.ts
@@ -2,13 +2,13 @@
 import type * as fleet from '@amaranthknot/fleet';
 import type * as protocol from '@amaranthknot/protocol';
 import type * as telemetry from '@amaranthknot/telemetry';
-import type * as storeWatching from './store-watching.js';
+import type * as watchRole from './watch-role.js';
 
 /** Parts that are looked at. */
-export interface FleetWatchOptions {
+export interface FleetChangeLoggerOptions {
   readonly now: () => number;
   readonly members: fleet.MemberTable;
-  readonly watching: storeWatching.StoreWatching;
+  readonly watching: watchRole.WatchRole;
   readonly log: telemetry.DecisionLog;
 }
 
@@ -16,42 +16,42 @@
 const MAX_NAMES = 20;
 
 /** Longest part of a peer's reason in one line, in characters. */
-const MAX_REASON = 200;
+const MAX_REASON_LENGTH = 200;
 
 /** One instance's beliefs of the fleet, as they were noted last. */
-export class FleetWatch {
+export class FleetChangeLogger {
   private serving: ReadonlySet<string> = new Set();
   private wasWatcher = false;
 
-  constructor(private readonly options: FleetWatchOptions) {}
+  constructor(private readonly options: FleetChangeLoggerOptions) {}
 
   /** Notes what has changed since the last look. */
-  look(): void {
-    this.lookAtPeers();
-    this.lookAtRole();
+  logChanges(): void {
+    this.logPeerChanges();
+    this.logRoleChange();
   }
 
   /**
    * Notes a message that did not pass for what it says. A peer that can't be
    * reached is seen by who is lost and who is asked instead.
    */
-  noteFailure(peer: string, {code, message}: protocol.PeerError): void {
+  logPeerFailure(peer: string, {code, message}: protocol.PeerError): void {
     if (code !== 'not_sent' && code !== 'unknown') {
-      const reason = message.slice(0, MAX_REASON);
+      const reason = message.slice(0, MAX_REASON_LENGTH);
       this.options.log.trouble('peer_message_refused', {peer, code, reason});
     }
   }
 
-  private lookAtPeers(): void {
+  private logPeerChanges(): void {
     const {members, now} = this.options;
     const serving = new Set(members.serving(now()).map(({id}) => id));
     const before = this.serving;
     this.serving = serving;
-    this.notePeers('peer_heard', [...serving], before);
-    this.notePeers('peer_lost', [...before], serving);
+    this.logPeers('peer_heard', [...serving], before);
+    this.logPeers('peer_lost', [...before], serving);
   }
 
-  private notePeers(
+  private logPeers(
     event: 'peer_heard' | 'peer_lost',
     ids: readonly string[],
     known: ReadonlySet<string>,
@@ -66,7 +66,7 @@
     }
   }
 
-  private lookAtRole(): void {
+  private logRoleChange(): void {
     const {watching, members, log} = this.options;
     const isWatcher = watching.isWatcher();
     if (isWatcher === this.wasWatcher) {
--- a/packages/amaranthknot/src/gateway/fleet-report.ts
+++ b/packages/amaranthknot/src/gateway/fleet-reports.ts
@@ -1,9 +1,9 @@
 /** What instances tell each other, put together from their parts. */
 import type * as protocol from '@amaranthknot/protocol';
-import type * as gatewayTokens from './gateway-tokens.js';
+import type * as gatewayComponents from './gateway-components.js';
 
 /** Sessions that one instance and its watcher have told each other. */
-interface ToldSessions {
+interface ExchangedSessions {
   /** Names the watcher and its start. */
   readonly watcher: string;
   /** By order: those of this instance's list that the watcher has. */
@@ -21,7 +21,7 @@
  * sums that go round grow with each turn.
  */
 export class FleetReports {
-  private toldSessions: ToldSessions | undefined;
+  private exchangedSessions: ExchangedSessions | undefined;
   /** Sessions of each order when this instance reported last. */
   private reportedCounts: Readonly<Record<string, number>> = {};
   /** Groups that watchers had when they were heard last, by their address. */
@@ -30,13 +30,13 @@
     readonly protocol.GroupState[]
   >();
 
-  constructor(private readonly get: gatewayTokens.ResolveGateway) {}
+  constructor(private readonly get: gatewayComponents.GatewayResolver) {}
 
   /** What this instance tells the peer at `address`. */
-  create(address: string): protocol.FleetReport {
+  createReport(address: string): protocol.FleetReport {
     const {get} = this;
     const now = get('options').clock.now();
-    const isLed = this.isLed();
+    const isFollower = this.isLed();
     const known = this.peerGroups.get(address);
     const keepsGroup = get('watching').isWatcher();
     return {
@@ -48,18 +48,18 @@
         : [],
       views: [...get('relay').states()],
       // An instance that is told by a watcher reports these to it alone.
-      upstreams: isLed ? [] : [...this.signsOfReporters()],
+      upstreams: isFollower ? [] : [...this.collectReportedStats()],
       limits: [...get('limits').report()],
-      evidence: isLed ? [] : [...get('rollouts').evidence()],
-      rollouts: isLed ? [] : [...get('rollouts').progress()],
+      evidence: isFollower ? [] : [...get('rollouts').evidence()],
+      rollouts: isFollower ? [] : [...get('rollouts').progress()],
     };
   }
 
   /** Takes in what a peer told, asked or unasked. Its views are not taken. */
-  take(report: protocol.FleetReport): void {
+  applyReport(report: protocol.FleetReport): void {
     const {get} = this;
     const now = get('options').clock.now();
-    this.takeMembers(report, now);
+    this.applyMembers(report, now);
     get('limits').merge(report.limits);
     get('rollouts').merge(report.rollouts, report.evidence);
     if (!this.isLed()) {
@@ -69,7 +69,7 @@
     }
   }
 
-  private takeMembers(
+  private applyMembers(
     {from, watchers, groups, groupMembers}: protocol.FleetReport,
     nowMs: number,
   ): void {
@@ -88,11 +88,11 @@
   }
 
   /** What this instance tells its watcher. */
-  createForWatcher(watcher: protocol.Member): protocol.FollowerReport {
+  createFollowerReport(watcher: protocol.Member): protocol.FollowerReport {
     const {get} = this;
-    const name = nameStart(watcher);
-    const told = this.sessionsToldTo(name);
-    this.toldSessions = told;
+    const name = formatIncarnation(watcher);
+    const told = this.sessionsExchangedWith(name);
+    this.exchangedSessions = told;
     this.reportedCounts = get('rollouts').pinnedCounts();
     const isWatcher = get('watching').isWatcher();
     return {
@@ -109,7 +109,7 @@
   }
 
   /** Takes in what an instance reported that is told by this one. */
-  takeFromFollower(report: protocol.FollowerReport): void {
+  applyFollowerReport(report: protocol.FollowerReport): void {
     const {get} = this;
     const now = get('options').clock.now();
     get('limits').merge(report.limits);
@@ -123,7 +123,7 @@
   }
 
   /** What this instance knows of the fleet, for one that it tells. */
-  summarize(report: protocol.FollowerReport): protocol.FleetSummary {
+  createSummary(report: protocol.FollowerReport): protocol.FleetSummary {
     const {get} = this;
     const {id} = report.from;
     const now = get('options').clock.now();
@@ -133,7 +133,7 @@
       membersVersion,
       ...(members ? {members} : {}),
       upstreams: [
-        ...get('picker').report(name => name !== id && name !== WATCHER),
+        ...get('picker').report(name => name !== id && name !== WATCHER_SOURCE),
       ],
       limits: [...get('limits').report()],
       evidence: [...get('rollouts').evidenceSums()],
@@ -143,7 +143,7 @@
   }
 
   /** Takes in what a watcher told. */
-  takeSummary(watcher: protocol.Member, summary: protocol.FleetSummary): void {
+  applySummary(watcher: protocol.Member, summary: protocol.FleetSummary): void {
     const {get} = this;
     if (get('watching').isWatcher()) {
       return;
@@ -151,12 +151,12 @@
     const {membersVersion, members, upstreams, limits, evidence, rollouts} =
       summary;
     const now = get('options').clock.now();
-    const name = nameStart(watcher);
+    const name = formatIncarnation(watcher);
     get('members').applyWatcherList(name, membersVersion, members, now);
-    get('picker').merge(WATCHER, upstreams, 'others');
+    get('picker').merge(WATCHER_SOURCE, upstreams, 'others');
     get('limits').merge(limits);
     get('rollouts').applySums(rollouts, evidence);
-    this.toldSessions = {
+    this.exchangedSessions = {
       watcher: name,
       sent: this.reportedCounts,
       known: summary.pinnedCounts,
@@ -170,19 +170,20 @@
     return get('members').hasWatcherList(now) && !get('watching').isWatcher();
   }
 
-  private sessionsToldTo(watcher: string): ToldSessions {
-    return this.toldSessions?.watcher === watcher
-      ? this.toldSessions
+  private sessionsExchangedWith(watcher: string): ExchangedSessions {
+    return this.exchangedSessions?.watcher === watcher
+      ? this.exchangedSessions
       : {watcher, sent: {}, known: {}};
   }
 
   /** Own signs, and those of instances that report to this one directly. */
-  private signsOfReporters(): readonly protocol.UpstreamStats[] {
+  private collectReportedStats(): readonly protocol.UpstreamStats[] {
     return this.get('picker').report((_, scope) => scope === 'itself');
   }
 }
 
 /** Name under which a watcher's sums are kept, whichever one tells them. */
-const WATCHER = 'watcher';
+const WATCHER_SOURCE = 'watcher';
 
-const nameStart = ({id, start}: protocol.Member): string => `${id}.${start}`;
+const formatIncarnation = ({id, start}: protocol.Member): string =>
+  `${id}.${start}`;
--- a/packages/amaranthknot/src/gateway/gateway-tokens.ts
+++ b/packages/amaranthknot/src/gateway/gateway-components.ts
@@ -5,11 +5,11 @@
 import type * as ports from '@amaranthknot/ports';
 import type * as protocol from '@amaranthknot/protocol';
 import type * as telemetry from '@amaranthknot/telemetry';
-import type * as fleetReport from './fleet-report.js';
-import type * as fleetWatch from './fleet-watch.js';
+import type * as fleetReports from './fleet-reports.js';
+import type * as fleetChangeLogger from './fleet-change-logger.js';
 import type * as gatewayState from './gateway-state.js';
 import type * as settingsSource from './settings-source.js';
-import type * as storeWatching from './store-watching.js';
+import type * as watchRole from './watch-role.js';
 
 /** What a gateway instance is made for. */
 export interface GatewayOptions {
@@ -30,26 +30,26 @@
 >;
 
 /** Parts of a running instance, by token. */
-export interface GatewayWiring {
+export interface GatewayComponents {
   readonly options: GatewayOptions;
   readonly log: telemetry.DecisionLog;
   readonly metrics: telemetry.GatewayMetrics;
   readonly latencies: decisions.LatencyEstimates;
   readonly capable: gateway.EscalationPolicy;
   readonly store: ports.StatusStore;
-  readonly views: gatewayState.Views;
+  readonly views: gatewayState.ViewsByKind;
   readonly state: gatewayState.GatewayState;
   readonly followers: Followers;
   /** Takes in that a view changed, and tells peers that wait for it. */
   readonly takeView: (view: fleet.KindView) => void;
-  readonly watching: storeWatching.StoreWatching;
-  readonly fleetWatch: fleetWatch.FleetWatch;
+  readonly watching: watchRole.WatchRole;
+  readonly fleetWatch: fleetChangeLogger.FleetChangeLogger;
   readonly subscription: fleet.ViewSubscription;
   readonly transport: protocol.HttpTransport;
   readonly members: fleet.MemberTable;
   readonly refresh: fleet.ViewRefresher;
   readonly relay: fleet.ViewRelay;
-  readonly reports: fleetReport.FleetReports;
+  readonly reports: fleetReports.FleetReports;
   readonly exchange: fleet.ReportExchange;
   readonly peerServer: protocol.PeerServer;
   readonly catalog: gateway.UpstreamCatalog;
@@ -64,14 +64,16 @@
 }
 
 /** Resolves one part. */
-export type ResolveGateway = <K extends keyof GatewayWiring>(
+export type GatewayResolver = <K extends keyof GatewayComponents>(
   token: K,
-) => GatewayWiring[K];
+) => GatewayComponents[K];
 
 /** Factories that stand in for an instance's own, as in an experiment. */
-export type PartOverrides = Partial<PartFactories<keyof GatewayWiring>>;
+export type ComponentOverrides = Partial<
+  ComponentFactories<keyof GatewayComponents>
+>;
 
 /** Factories of some parts, by token. */
-export type PartFactories<K extends keyof GatewayWiring> = {
-  readonly [P in K]: (get: ResolveGateway) => GatewayWiring[P];
+export type ComponentFactories<K extends keyof GatewayComponents> = {
+  readonly [P in K]: (get: GatewayResolver) => GatewayComponents[P];
 };
--- a/packages/amaranthknot/src/gateway/gateway-instance.ts
+++ b/packages/amaranthknot/src/gateway/gateway-instance.ts
@@ -3,21 +3,21 @@
 import * as gateway from '@amaranthknot/gateway';
 import * as platform from '@amaranthknot/platform';
 import * as protocol from '@amaranthknot/protocol';
-import type * as gatewayTokens from './gateway-tokens.js';
-import * as wiring from './gateway-wiring.js';
+import type * as gatewayComponents from './gateway-components.js';
+import * as gatewayWiring from './gateway-wiring.js';
 import * as instanceLoops from './instance-loops.js';
 
 /** How often a planned stop looks whether its requests are done, in ms. */
-const DRAIN_CHECK_MS = 50;
+const DRAIN_CHECK_INTERVAL_MS = 50;
 
 /**
  * Longest time for which an instance that has just started waits for the
  * store's answers before it starts what others than callers ask, in ms.
  */
-const CALLERS_FIRST_MS = 150;
+const AUXILIARY_START_DELAY_MS = 150;
 
 /** Part of the time for a planned stop in which requests may end. */
-const STOP_SHARE = 0.95;
+const DRAIN_SHARE = 0.95;
 
 /**
  * Time after the order to stop during which all requests are still taken, in
@@ -25,24 +25,24 @@
  * and a stream that begins now mostly ends in time. Later only those are taken
  * that must have ended before this instance does.
  */
-const ALL_TAKEN_MS = 1_500;
+const ACCEPT_ALL_MS = 1_500;
 
 /**
  * Least time between the order to stop and the end, in milliseconds: peers
  * have stopped naming this instance by then.
  */
-const LEAST_STOP_MS = 800;
+const MIN_STOP_MS = 800;
 
 /** A gateway instance. */
 export class GatewayInstance {
-  private readonly get: gatewayTokens.ResolveGateway;
-  private readonly ending = new AbortController();
-  private sideServers: readonly gateway.AuxiliaryServer[] = [];
+  private readonly get: gatewayComponents.GatewayResolver;
+  private readonly shutdown = new AbortController();
+  private auxiliaryServers: readonly gateway.AuxiliaryServer[] = [];
   private stopping = false;
   private readonly loops: instanceLoops.InstanceLoops;
 
-  constructor(private readonly options: gatewayTokens.GatewayOptions) {
-    this.get = wiring.wireGateway(options);
+  constructor(private readonly options: gatewayComponents.GatewayOptions) {
+    this.get = gatewayWiring.wireGateway(options);
     this.loops = new instanceLoops.InstanceLoops(this.get, {
       isReady: () => this.isReady(),
       reload: () => {
@@ -55,25 +55,25 @@
   async start(): Promise<void> {
     const {get} = this;
     get('log').belief('instance_started', {uptimeMs: instanceLoops.uptimeMs()});
-    const {signal} = this.ending;
+    const {signal} = this.shutdown;
     // The store is asked before this instance listens: its answers are on
     // their way meanwhile.
     void this.loops.followStore(signal);
     await get('callerServer').start();
     await Promise.race([
-      get('state').whenKnowing(),
-      this.options.clock.sleep(CALLERS_FIRST_MS, signal),
+      get('state').whenSynced(),
+      this.options.clock.sleep(AUXILIARY_START_DELAY_MS, signal),
     ]);
-    await this.startSideServers();
-    this.loops.talkToPeers(signal);
+    await this.startAuxiliaryServers();
+    this.loops.exchangeWithPeers(signal);
     void this.loops.tick(signal);
   }
 
   /** Starts what others ask this instance, after callers are taken. */
-  private async startSideServers(): Promise<void> {
+  private async startAuxiliaryServers(): Promise<void> {
     const {get} = this;
     const {listen} = this.options.settings.current;
-    this.sideServers = [
+    this.auxiliaryServers = [
       gateway.createReadinessServer(
         listen.readiness,
         platform.INSTANCE_PATHS.readiness,
@@ -95,7 +95,7 @@
           ]
         : []),
     ];
-    await Promise.all(this.sideServers.map(server => server.start()));
+    await Promise.all(this.auxiliaryServers.map(server => server.start()));
   }
 
   /**
@@ -108,24 +108,23 @@
     const {get} = this;
     const startedAt = clock.now();
     const end =
-      startedAt + settings.current.bounds.change.stopGraceMs * STOP_SHARE;
+      startedAt + settings.current.bounds.change.stopGraceMs * DRAIN_SHARE;
     this.stopping = true;
     const {inProgress} = get('gateway');
     get('log').belief('instance_stopping', {inProgress});
     get('members').setPhase('leaving');
     get('gateway').beginStop({
-      acceptsAllUntilMs: startedAt + ALL_TAKEN_MS,
+      acceptsAllUntilMs: startedAt + ACCEPT_ALL_MS,
       endsAtMs: end,
     });
     void get('exchange').notifyWatchers();
     const isDone = () =>
-      get('gateway').inProgress === 0 &&
-      clock.now() - startedAt >= LEAST_STOP_MS;
+      get('gateway').inProgress === 0 && clock.now() - startedAt >= MIN_STOP_MS;
     while (!isDone() && clock.now() < end) {
-      await clock.sleep(DRAIN_CHECK_MS);
+      await clock.sleep(DRAIN_CHECK_INTERVAL_MS);
     }
-    this.ending.abort();
-    await get('callerServer').stop(DRAIN_CHECK_MS);
+    this.shutdown.abort();
+    await get('callerServer').stop(DRAIN_CHECK_INTERVAL_MS);
     get('log').belief('instance_stopped', {
       tookMs: Math.round(clock.now() - startedAt),
       cut: get('gateway').inProgress,
@@ -149,12 +148,12 @@
   }
 
   /** Ends at once, as a process that is killed does. */
-  async abandon(): Promise<void> {
-    this.ending.abort();
+  async kill(): Promise<void> {
+    this.shutdown.abort();
     this.get('transport').close();
     await Promise.all([
       this.get('callerServer').stop(0),
-      ...this.sideServers.map(server => server.stop()),
+      ...this.auxiliaryServers.map(server => server.stop()),
     ]);
   }
 
@@ -169,7 +168,7 @@
   }
 
   private isReady(): boolean {
-    return !this.stopping && this.get('state').isKnowing();
+    return !this.stopping && this.get('state').isSynced();
   }
 
   /**
--- a/packages/amaranthknot/src/gateway/gateway-state.ts
+++ b/packages/amaranthknot/src/gateway/gateway-state.ts
@@ -30,12 +30,12 @@
 export type FollowedKind = keyof typeof platform.STORE_KINDS;
 
 /** Views of all kinds. */
-export type Views = Readonly<Record<FollowedKind, fleet.KindView>>;
+export type ViewsByKind = Readonly<Record<FollowedKind, fleet.KindView>>;
 
 /** Parts that the state works with. */
 export interface GatewayStateOptions {
   readonly now: () => number;
-  readonly views: Views;
+  readonly views: ViewsByKind;
   readonly catalog: gateway.UpstreamCatalog;
   readonly rollouts: gateway.RolloutTracker;
   readonly log: telemetry.DecisionLog;
@@ -55,18 +55,18 @@
   /** The last time without news in which entries may have lapsed. */
   private silence: fleet.TimeSpan | undefined;
   private storeLostAtMs = -Infinity;
-  private isStoreThere = true;
-  private resolveKnowing: () => void = () => undefined;
-  private readonly knowing: Promise<void>;
+  private isStoreReachable = true;
+  private resolveSynced: () => void = () => undefined;
+  private readonly synced: Promise<void>;
 
   constructor(private readonly options: GatewayStateOptions) {
-    this.knowing = new Promise(resolve => {
-      this.resolveKnowing = resolve;
+    this.synced = new Promise(resolve => {
+      this.resolveSynced = resolve;
     });
   }
 
   /** The configuration in force, if any is known. */
-  inForce(): gateway.ActiveTable | undefined {
+  activeTable(): gateway.ActiveTable | undefined {
     const {views, now} = this.options;
     return (
       this.table && {
@@ -90,25 +90,25 @@
   }
 
   /** Notes the outcome of a call to the store. */
-  noteStoreCall(error: ports.StoreError | undefined): void {
+  recordStoreCall(error: ports.StoreError | undefined): void {
     const {now, log} = this.options;
     if (!error || error.code === 'history_gone') {
-      if (!this.isStoreThere) {
+      if (!this.isStoreReachable) {
         const awayMs = Math.round(now() - this.storeLostAtMs);
         log.belief('store_regained', {awayMs});
-        this.isStoreThere = true;
+        this.isStoreReachable = true;
       }
       return;
     }
-    if (this.isStoreThere) {
-      this.isStoreThere = false;
+    if (this.isStoreReachable) {
+      this.isStoreReachable = false;
       this.storeLostAtMs = now();
       log.trouble('store_lost', {code: error.code, reason: error.message});
     }
   }
 
   /** Whether enough is known to serve. */
-  isKnowing(): boolean {
+  isSynced(): boolean {
     const views = Object.values(this.options.views);
     return (
       this.table !== undefined &&
@@ -117,37 +117,37 @@
   }
 
   /** Resolves once enough is known to serve. */
-  whenKnowing(): Promise<void> {
-    return this.knowing;
+  whenSynced(): Promise<void> {
+    return this.synced;
   }
 
   /** Drops what is overdue. */
-  tick(): void {
-    this.options.catalog.expire(this.options.now(), this.isStoreCalm());
+  expire(): void {
+    this.options.catalog.expire(this.options.now(), this.isStoreStable());
   }
 
   /** Takes in that a view has changed or was confirmed. */
-  take(view: fleet.KindView): void {
-    this.takeView(view);
-    if (this.isKnowing()) {
-      this.resolveKnowing();
+  applyView(view: fleet.KindView): void {
+    this.dispatchView(view);
+    if (this.isSynced()) {
+      this.resolveSynced();
     }
   }
 
-  private takeView(view: fleet.KindView): void {
+  private dispatchView(view: fleet.KindView): void {
     const {views} = this.options;
     switch (view) {
       case views.configuration:
-        this.takeTable(view);
+        this.applyConfiguration(view);
         return;
       case views.upstreams:
-        this.takeUpstreams(view);
+        this.applyUpstreams(view);
         return;
       case views.rollouts:
-        this.takeRollouts(view);
+        this.applyRollouts(view);
         return;
       case views.evacuations:
-        this.takeZones(new Set(view.objects.keys()));
+        this.applyEvacuations(new Set(view.objects.keys()));
         return;
     }
   }
@@ -159,7 +159,7 @@
    * alone, and all that it tells, would keep upstreams that left, for the grace
    * time on top of the time that the news took.
    */
-  private isStoreCalm(): boolean {
+  private isStoreStable(): boolean {
     const {silence} = this;
     const {now, views} = this.options;
     return (
@@ -169,14 +169,14 @@
     );
   }
 
-  private noteConfirmation({confirmedAtMs}: fleet.KindView): void {
+  private recordConfirmation({confirmedAtMs}: fleet.KindView): void {
     const fromMs = this.upstreamsAsOfMs ?? confirmedAtMs;
     this.upstreamsAsOfMs = confirmedAtMs;
     if (confirmedAtMs - fromMs <= fleet.MAX_ANSWER_GAP_MS) {
       return;
     }
     this.silence = {fromMs, toMs: this.options.now()};
-    if (!this.isStoreCalm()) {
+    if (!this.isStoreStable()) {
       this.options.log.belief('lapse_suspected', {
         silentMs: Math.round(confirmedAtMs - fromMs),
         keptForMs: LAPSE_GRACE_MS,
@@ -184,7 +184,7 @@
     }
   }
 
-  private takeZones(zones: ReadonlySet<string>): void {
+  private applyEvacuations(zones: ReadonlySet<string>): void {
     const before = [...this.zonesOut].sort().join();
     const after = [...zones].sort();
     this.zonesOut = zones;
@@ -194,22 +194,22 @@
   }
 
   /** Most confirmations bring nothing new, and there may be thousands. */
-  private takeUpstreams(view: fleet.KindView): void {
+  private applyUpstreams(view: fleet.KindView): void {
     const {catalog, now} = this.options;
-    this.noteConfirmation(view);
+    this.recordConfirmation(view);
     if (view.digest === this.upstreamsDigest) {
-      this.tick();
+      this.expire();
       return;
     }
     this.upstreamsDigest = view.digest;
-    catalog.update(view.objects, now(), this.isStoreCalm());
+    catalog.update(view.objects, now(), this.isStoreStable());
   }
 
   /**
    * A configuration only rises: a peer or a late answer may bring one that is
    * older than what this instance has already acted on.
    */
-  private takeTable(view: fleet.KindView): void {
+  private applyConfiguration(view: fleet.KindView): void {
     const object = view.objects.get(platform.CONFIGURATION_NAME);
     if (!object || object.version <= this.tableObjectVersion) {
       return;
@@ -231,7 +231,7 @@
     });
   }
 
-  private takeRollouts(view: fleet.KindView): void {
+  private applyRollouts(view: fleet.KindView): void {
     this.options.rollouts.applyRollouts(
       [...view.objects.values()].flatMap(
         object => platform.decodeRollout(object) ?? [],
--- a/packages/amaranthknot/src/gateway/gateway-wiring.ts
+++ b/packages/amaranthknot/src/gateway/gateway-wiring.ts
@@ -5,14 +5,18 @@
 import 'reflect-metadata';
 import * as telemetry from '@amaranthknot/telemetry';
 import * as tsyringe from 'tsyringe';
-import type * as gatewayTokens from './gateway-tokens.js';
+import type * as gatewayComponents from './gateway-components.js';
 import * as fleetFactories from './wiring/fleet-factories.js';
 import * as requestFactories from './wiring/request-factories.js';
 import * as storeFactories from './wiring/store-factories.js';
 
-type Factories = gatewayTokens.PartFactories<keyof gatewayTokens.GatewayWiring>;
+type Factories = gatewayComponents.ComponentFactories<
+  keyof gatewayComponents.GatewayComponents
+>;
 
-const createFactories = (options: gatewayTokens.GatewayOptions): Factories => ({
+const createFactories = (
+  options: gatewayComponents.GatewayOptions,
+): Factories => ({
   ...storeFactories.createStoreFactories(options),
   ...fleetFactories.createFleetFactories(options),
   ...requestFactories.createRequestFactories(options),
@@ -29,7 +33,7 @@
   metrics: get =>
     new telemetry.GatewayMetrics(() => ({
       inProgress: get('gateway').inProgress,
-      configurationAgeMs: get('state').inForce()?.ageMs,
+      configurationAgeMs: get('state').activeTable()?.ageMs,
       upstreams: get('catalog').all().length,
       upstreamsAgeMs: get('state').upstreamsAgeMs(),
       servingInstances: get('members').serving(options.clock.now()).length,
@@ -38,19 +42,21 @@
 
 /** Registers all parts; returns how to get one. */
 export const wireGateway = (
-  options: gatewayTokens.GatewayOptions,
-  overrides: gatewayTokens.PartOverrides = {},
-): gatewayTokens.ResolveGateway => {
+  options: gatewayComponents.GatewayOptions,
+  overrides: gatewayComponents.ComponentOverrides = {},
+): gatewayComponents.GatewayResolver => {
   const container = tsyringe.container.createChildContainer();
   // Parts are asked for on each message; the container takes far longer.
-  const parts: Partial<Record<keyof gatewayTokens.GatewayWiring, unknown>> = {};
-  const get = <K extends keyof gatewayTokens.GatewayWiring>(
+  const components: Partial<
+    Record<keyof gatewayComponents.GatewayComponents, unknown>
+  > = {};
+  const get = <K extends keyof gatewayComponents.GatewayComponents>(
     token: K,
-  ): gatewayTokens.GatewayWiring[K] => {
-    parts[token] ??= container.resolve(token);
-    return parts[token] as gatewayTokens.GatewayWiring[K];
+  ): gatewayComponents.GatewayComponents[K] => {
+    components[token] ??= container.resolve(token);
+    return components[token] as gatewayComponents.GatewayComponents[K];
   };
-  const register = <K extends keyof gatewayTokens.GatewayWiring>(
+  const register = <K extends keyof gatewayComponents.GatewayComponents>(
     token: K,
     factory: Factories[K],
   ): void => {
@@ -61,7 +67,7 @@
   const factories = {...createFactories(options), ...overrides};
   for (const token of Object.keys(
     factories,
-  ) as (keyof gatewayTokens.GatewayWiring)[]) {
+  ) as (keyof gatewayComponents.GatewayComponents)[]) {
     register(token, factories[token]);
   }
   return get;
--- a/packages/amaranthknot/src/gateway/peer-messages.ts
+++ b/packages/amaranthknot/src/gateway/peer-server.ts
@@ -1,23 +1,23 @@
 /** Answers what other instances ask and tell. */
 import type * as fleet from '@amaranthknot/fleet';
 import * as protocol from '@amaranthknot/protocol';
-import type * as fleetReport from './fleet-report.js';
+import type * as fleetReports from './fleet-reports.js';
 
 /** Parts that the answers come from. */
-export interface PeerMessagesOptions {
+export interface PeerServerOptions {
   readonly relay: fleet.ViewRelay;
-  readonly reports: fleetReport.FleetReports;
+  readonly reports: fleetReports.FleetReports;
 }
 
 /** Creates the server of one instance's peers. */
 export const createPeerServer = (
-  options: PeerMessagesOptions,
+  options: PeerServerOptions,
 ): protocol.PeerServer => {
   const {relay, reports} = options;
   return protocol.createPeerServer({
     exchange_reports: report => {
-      reports.take(report);
-      return reports.create(report.from.peers);
+      reports.applyReport(report);
+      return reports.createReport(report.from.peers);
     },
     fetch_view: ({kind}) => relay.handleFetch(kind),
     await_views: call => answerFollower(options, call),
@@ -26,16 +26,16 @@
 
 /** A watcher that follows hears of the fleet from its peers. */
 const answerFollower = async (
-  {relay, reports}: PeerMessagesOptions,
+  {relay, reports}: PeerServerOptions,
   call: protocol.Params<'await_views'>,
 ): Promise<protocol.Result<'await_views'>> => {
   const {report} = call;
   if (!report) {
     return relay.awaitViews(call);
   }
-  reports.takeFromFollower(report);
+  reports.applyFollowerReport(report);
   const answer = await relay.awaitViews(call);
   return report.isWatcher
     ? answer
-    : {...answer, summary: reports.summarize(report)};
+    : {...answer, summary: reports.createSummary(report)};
 };
--- a/packages/amaranthknot/src/gateway/upstream-changes.ts
+++ b/packages/amaranthknot/src/gateway/upstream-changes.ts
@@ -3,7 +3,7 @@
 import type * as telemetry from '@amaranthknot/telemetry';
 
 /** As of when the upstreams are known. */
-export interface ChangeOrigin {
+export interface CatalogFreshness {
   /** Time since they were known to be complete, in ms. */
   readonly ageMs: number | undefined;
   /** Store version up to which they are known. */
@@ -24,7 +24,7 @@
 /** Names by what became of them; kinds that did not come are left out. */
 export const describeChanges = (
   changes: readonly gateway.CatalogChange[],
-  {ageMs, revision}: ChangeOrigin,
+  {ageMs, revision}: CatalogFreshness,
 ): telemetry.Details => {
   const named = KINDS.flatMap(kind => {
     const ids = changes
--- a/packages/amaranthknot/src/gateway/store-watching.ts
+++ b/packages/amaranthknot/src/gateway/watch-role.ts
@@ -7,10 +7,10 @@
 import type * as gatewayState from './gateway-state.js';
 
 /** Parts that the choice works with. */
-export interface StoreWatchingOptions {
+export interface WatchRoleOptions {
   readonly now: () => number;
   readonly members: fleet.MemberTable;
-  readonly views: gatewayState.Views;
+  readonly views: gatewayState.ViewsByKind;
   readonly bounds: configuration.GatewaySettings['bounds'];
   /** Whether the settings name other instances to find. */
   readonly hasSeeds: boolean;
@@ -21,7 +21,7 @@
  * looked at forty times a second, and each time all instances would be looked
  * through.
  */
-const ROLES_MS = 200;
+const ROLE_CACHE_MS = 200;
 
 /**
  * Time after its start in which an instance watches nothing, in milliseconds.
@@ -35,13 +35,13 @@
  * Time for which calls to the store fail before an instance says that it has
  * lost it, in milliseconds: longer than one call that is not answered.
  */
-const LOST_MS = 1_000;
+const STORE_LOST_AFTER_MS = 1_000;
 
 /**
  * Time between two calls of an instance that has lost the store and watches
  * nothing, in milliseconds: only a call shows that the way is open again.
  */
-const PROBE_MS = 5_000;
+const PROBE_INTERVAL_MS = 5_000;
 
 /**
  * Longest time that news of upstreams may take, in milliseconds, whatever the
@@ -49,19 +49,19 @@
  * is as long as `fleet.LONGEST_SILENCE_MS`, from which on it looks like an
  * outage, and entries of upstreams that left are kept.
  */
-const LONGEST_NEWS_MS = 2_000;
+const MAX_PROPAGATION_MS = 2_000;
 
 /**
  * Time between two calls of an instance that is told by a watcher, while the
  * store does not answer it, in milliseconds.
  */
-const RETRY_MS = 3_000;
+const RETRY_INTERVAL_MS = 3_000;
 
 /** Roles as worked out last. */
 interface Roles {
   readonly atMs: number;
   /** Instances that could watch then. */
-  readonly able: readonly protocol.Member[];
+  readonly eligible: readonly protocol.Member[];
   /** Instances that tell others. */
   readonly watchers: readonly protocol.Member[];
   /** Of these, by id, those that watch the store. */
@@ -77,7 +77,7 @@
   a.length === b.length && a.every((member, index) => member === b[index]);
 
 /** One instance's part. */
-export class StoreWatching {
+export class WatchRole {
   private roles: Roles | undefined;
   private readonly boundsByKind: ReadonlyMap<string, number>;
   private readonly startedAtMs: number;
@@ -85,13 +85,13 @@
   private failingSinceMs: number | undefined;
   private lastCallMs = -Infinity;
 
-  constructor(private readonly options: StoreWatchingOptions) {
+  constructor(private readonly options: WatchRoleOptions) {
     const {views, bounds} = options;
     this.startedAtMs = options.now();
     const {configurationMs, leavingMs, evacuationMs} = bounds.change;
     this.boundsByKind = new Map([
       [views.configuration.kind, configurationMs],
-      [views.upstreams.kind, Math.min(leavingMs, LONGEST_NEWS_MS)],
+      [views.upstreams.kind, Math.min(leavingMs, MAX_PROPAGATION_MS)],
       [views.evacuations.kind, evacuationMs],
       [views.rollouts.kind, bounds.exposure.rollbackMs],
     ]);
@@ -107,12 +107,12 @@
   }
 
   /** Age, in ms, from which a view is too old to rely on its watcher. */
-  freshMs(kind: string): number {
+  staleAfterMs(kind: string): number {
     return decisions.findStaleAfterMs(this.boundMs(kind));
   }
 
   /** What this instance does about a kind now. */
-  findNeed(view: fleet.KindView): decisions.SyncMode {
+  getSyncMode(view: fleet.KindView): decisions.SyncMode {
     if (this.mustProbe(view)) {
       return 'ask';
     }
@@ -122,7 +122,7 @@
       ageMs,
       this.boundMs(view.kind),
     );
-    return need === 'ask' && this.isLeftToWatchers(view) ? 'none' : need;
+    return need === 'ask' && this.defersToWatchers(view) ? 'none' : need;
   }
 
   /**
@@ -135,11 +135,11 @@
    * while it answers again here, and one call that failed long ago must not
    * keep an instance with them.
    */
-  private isLeftToWatchers(view: fleet.KindView): boolean {
+  private defersToWatchers(view: fleet.KindView): boolean {
     const {members, views, now} = this.options;
     const isFailing = this.failingSinceMs !== undefined;
     const mayRetry =
-      view === views.upstreams && now() - this.lastCallMs >= RETRY_MS;
+      view === views.upstreams && now() - this.lastCallMs >= RETRY_INTERVAL_MS;
     return isFailing && !mayRetry && members.hasWatcherList(now());
   }
 
@@ -150,7 +150,7 @@
    * the store, instances that they told asked the store one by one, fifty
    * calls a second. One that says it has lost the store is passed over.
    */
-  noteStoreCall(error: ports.StoreError | undefined): void {
+  recordStoreCall(error: ports.StoreError | undefined): void {
     const {now, members} = this.options;
     this.lastCallMs = now();
     if (!error || error.code === 'history_gone') {
@@ -159,7 +159,7 @@
       return;
     }
     this.failingSinceMs ??= now();
-    if (now() - this.failingSinceMs >= LOST_MS) {
+    if (now() - this.failingSinceMs >= STORE_LOST_AFTER_MS) {
       members.setStore('lost');
     }
   }
@@ -169,7 +169,7 @@
     return (
       members.self.store === 'lost' &&
       view === views.configuration &&
-      now() - this.lastCallMs >= PROBE_MS
+      now() - this.lastCallMs >= PROBE_INTERVAL_MS
     );
   }
 
@@ -189,13 +189,13 @@
 
   private findRoles(): Roles {
     const now = this.options.now();
-    if (!this.roles || now - this.roles.atMs >= ROLES_MS) {
-      this.roles = this.workOutRoles(now);
+    if (!this.roles || now - this.roles.atMs >= ROLE_CACHE_MS) {
+      this.roles = this.computeRoles(now);
     }
     return this.roles;
   }
 
-  private workOutRoles(atMs: number): Roles {
+  private computeRoles(atMs: number): Roles {
     const {members} = this.options;
     // Also those that take no callers yet: before the first configuration no
     // instance does, and each would ask the store for itself.
@@ -203,7 +203,7 @@
     const reaching = staying.filter(({store}) => store === 'reached');
     // In an outage for all the roles stay as they are.
     const able = reaching.length > 0 ? reaching : staying;
-    if (this.roles && isSameList(this.roles.able, able)) {
+    if (this.roles && isSameList(this.roles.eligible, able)) {
       return {...this.roles, atMs};
     }
     const watchers = decisions.findWatchers(able);
@@ -211,7 +211,7 @@
     const find = (id: string) => byId.get(id) ?? [];
     return {
       atMs,
-      able,
+      eligible: able,
       watchers: watchers.flatMap(find),
       storeWatchers: decisions.findStoreWatchers(watchers),
       sources: decisions.rankSources(members.self, able).flatMap(find),
@@ -242,7 +242,8 @@
   private isFresh(): boolean {
     const {views, now} = this.options;
     return Object.values(views).every(
-      ({kind, confirmedAtMs}) => now() - confirmedAtMs <= this.freshMs(kind),
+      ({kind, confirmedAtMs}) =>
+        now() - confirmedAtMs <= this.staleAfterMs(kind),
     );
   }
 }
--- a/packages/amaranthknot/src/gateway/wiring/fleet-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/fleet-factories.ts
@@ -2,13 +2,13 @@
 import * as configuration from '@amaranthknot/configuration';
 import * as fleet from '@amaranthknot/fleet';
 import * as protocol from '@amaranthknot/protocol';
-import * as fleetReport from '../fleet-report.js';
-import * as fleetWatch from '../fleet-watch.js';
-import type * as gatewayTokens from '../gateway-tokens.js';
-import * as peerMessages from '../peer-messages.js';
+import * as fleetReports from '../fleet-reports.js';
+import * as fleetChangeLogger from '../fleet-change-logger.js';
+import type * as gatewayComponents from '../gateway-components.js';
+import * as peerServer from '../peer-server.js';
 
 /** Parts that are made here. */
-export type FleetPart =
+export type FleetComponent =
   | 'transport'
   | 'members'
   | 'fleetWatch'
@@ -17,7 +17,7 @@
   | 'peerServer';
 
 const createMembers = (
-  get: gatewayTokens.ResolveGateway,
+  get: gatewayComponents.GatewayResolver,
 ): fleet.MemberTable => {
   const {settings, clock} = get('options');
   const {listen, instance, limits} = settings.current;
@@ -35,7 +35,7 @@
 };
 
 const createExchange = (
-  get: gatewayTokens.ResolveGateway,
+  get: gatewayComponents.GatewayResolver,
 ): fleet.ReportExchange => {
   const {clock, random, settings} = get('options');
   return new fleet.ReportExchange({
@@ -48,34 +48,34 @@
       get('members').hasWatcherList(clock.now()) &&
       !get('watching').isWatcher(),
     findWatchers: () => get('watching').findWatchers(),
-    createReport: address => get('reports').create(address),
+    createReport: address => get('reports').createReport(address),
     onFailure: (peer, error) => {
-      get('fleetWatch').noteFailure(peer, error);
+      get('fleetWatch').logPeerFailure(peer, error);
     },
     onAnswer: (address, report, askedAtMs) => {
       get('relay').mergeStates(address, report.views, askedAtMs);
-      get('reports').take(report);
+      get('reports').applyReport(report);
     },
   });
 };
 
 /** Creates the factories. */
 export const createFleetFactories = (
-  options: gatewayTokens.GatewayOptions,
-): gatewayTokens.PartFactories<FleetPart> => ({
+  options: gatewayComponents.GatewayOptions,
+): gatewayComponents.ComponentFactories<FleetComponent> => ({
   transport: () => options.transport ?? protocol.createHttpTransport({}),
   members: createMembers,
   fleetWatch: get =>
-    new fleetWatch.FleetWatch({
+    new fleetChangeLogger.FleetChangeLogger({
       now: () => options.clock.now(),
       members: get('members'),
       watching: get('watching'),
       log: get('log'),
     }),
-  reports: get => new fleetReport.FleetReports(get),
+  reports: get => new fleetReports.FleetReports(get),
   exchange: createExchange,
   peerServer: get =>
-    peerMessages.createPeerServer({
+    peerServer.createPeerServer({
       relay: get('relay'),
       reports: get('reports'),
     }),
--- a/packages/amaranthknot/src/gateway/wiring/request-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/request-factories.ts
@@ -3,12 +3,12 @@
 import * as gateway from '@amaranthknot/gateway';
 import * as platform from '@amaranthknot/platform';
 import * as gatewayState from '../gateway-state.js';
-import type * as gatewayTokens from '../gateway-tokens.js';
+import type * as gatewayComponents from '../gateway-components.js';
 import * as repeatSlack from '../repeat-slack.js';
 import * as upstreamChanges from '../upstream-changes.js';
 
 /** Parts that are made here. */
-export type RequestPart =
+export type RequestComponent =
   | 'latencies'
   | 'capable'
   | 'catalog'
@@ -35,7 +35,7 @@
 
 /** Forgets all that was known of upstreams that are gone. */
 const forgetGone = (
-  get: gatewayTokens.ResolveGateway,
+  get: gatewayComponents.GatewayResolver,
   changes: readonly gateway.CatalogChange[],
 ): void => {
   if (!changes.some(({kind}) => kind === 'gone')) {
@@ -48,18 +48,18 @@
   get('limits').retain(ids);
 };
 
-const nameIncarnation = (get: gatewayTokens.ResolveGateway): string => {
+const formatIncarnation = (get: gatewayComponents.GatewayResolver): string => {
   const {id, start} = get('members').self;
   return `${id}.${start}`;
 };
 
 const createRollouts = (
-  get: gatewayTokens.ResolveGateway,
+  get: gatewayComponents.GatewayResolver,
 ): gateway.RolloutTracker => {
   const {clock, settings} = get('options');
   return new gateway.RolloutTracker({
     clock,
-    incarnation: nameIncarnation(get),
+    incarnation: formatIncarnation(get),
     sessionMs: settings.current.bounds.sessionMs,
     limit: settings.current.bounds.exposure,
     report: async (order, state) => {
@@ -81,7 +81,7 @@
 };
 
 const createPlacement = (
-  get: gatewayTokens.ResolveGateway,
+  get: gatewayComponents.GatewayResolver,
 ): gateway.UpstreamPlacement => {
   const {settings, clock} = get('options');
   const startedAtMs = clock.now();
@@ -106,7 +106,9 @@
   });
 };
 
-const createGateway = (get: gatewayTokens.ResolveGateway): gateway.Gateway => {
+const createGateway = (
+  get: gatewayComponents.GatewayResolver,
+): gateway.Gateway => {
   const {clock, random, settings} = get('options');
   const {change} = settings.current.bounds;
   return new gateway.Gateway({
@@ -117,7 +119,7 @@
     escalation: get('capable'),
     probe: gateway.createProbe(clock),
     whenSynced: () =>
-      Promise.race([get('state').whenKnowing(), clock.sleep(HOLD_AT_START_MS)]),
+      Promise.race([get('state').whenSynced(), clock.sleep(HOLD_AT_START_MS)]),
     headerConventions: DIALECT,
     place: toPlace => get('placement').place(toPlace),
     openCall: gateway.createOpenCall(
@@ -128,7 +130,7 @@
       },
     ),
     refreshTable: () => get('refresh').refresh(),
-    activeTable: () => get('state').inForce(),
+    activeTable: () => get('state').activeTable(),
     onRequestEnd: sample => {
       get('metrics').noteRequest(sample);
     },
@@ -141,8 +143,8 @@
 
 /** Creates the factories. */
 export const createRequestFactories = (
-  options: gatewayTokens.GatewayOptions,
-): gatewayTokens.PartFactories<RequestPart> => ({
+  options: gatewayComponents.GatewayOptions,
+): gatewayComponents.ComponentFactories<RequestComponent> => ({
   latencies: () => new decisions.LatencyEstimates(),
   capable: get =>
     new gateway.EscalationPolicy({
@@ -180,7 +182,7 @@
   repeats: () => {
     const {ratio, windowMs} = options.settings.current.bounds.retry;
     return new decisions.RepeatBudget({
-      ratio: repeatSlack.RETRY_PART * ratio,
+      ratio: repeatSlack.RETRY_BUDGET_FRACTION * ratio,
       windowMs,
       now: () => options.clock.now(),
     });
--- a/packages/amaranthknot/src/gateway/wiring/store-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/store-factories.ts
@@ -5,11 +5,11 @@
 import * as platform from '@amaranthknot/platform';
 import * as ports from '@amaranthknot/ports';
 import * as gatewayState from '../gateway-state.js';
-import type * as gatewayTokens from '../gateway-tokens.js';
-import * as storeWatching from '../store-watching.js';
+import type * as gatewayComponents from '../gateway-components.js';
+import * as watchRole from '../watch-role.js';
 
 /** Parts that are made here. */
-export type StorePart =
+export type StoreComponent =
   | 'store'
   | 'views'
   | 'state'
@@ -24,7 +24,7 @@
 const STORE_TIMEOUT_MS = 1_000;
 
 const createStore = (
-  options: gatewayTokens.GatewayOptions,
+  options: gatewayComponents.GatewayOptions,
 ): ports.StatusStore => {
   const address = configuration.formatAddress(
     options.settings.current.store.address,
@@ -36,7 +36,7 @@
   return new platform.StoreClient((...call) => client.send(...call));
 };
 
-const createViews = (): gatewayState.Views => {
+const createViews = (): gatewayState.ViewsByKind => {
   const view = (kind: gatewayState.FollowedKind): fleet.KindView =>
     new fleet.KindView(platform.STORE_KINDS[kind]);
   return {
@@ -48,7 +48,7 @@
 };
 
 const createFollower = (
-  get: gatewayTokens.ResolveGateway,
+  get: gatewayComponents.GatewayResolver,
   kind: gatewayState.FollowedKind,
 ): fleet.KindReflector => {
   const {clock, random} = get('options');
@@ -63,7 +63,7 @@
     pauseAfterChangesMs: decisions.findChangePauseMs(
       get('watching').boundMs(view.kind),
     ),
-    getSyncMode: () => get('watching').findNeed(view),
+    getSyncMode: () => get('watching').getSyncMode(view),
     onUpdate: get('takeView'),
     onRelist: asked => {
       get('log').belief('store_asked', {
@@ -73,14 +73,14 @@
     },
     onCall: (called, error) => {
       get('metrics').noteStoreCall(called, error?.code ?? 'done');
-      get('state').noteStoreCall(error);
-      get('watching').noteStoreCall(error);
+      get('state').recordStoreCall(error);
+      get('watching').recordStoreCall(error);
     },
   });
 };
 
 const createState = (
-  get: gatewayTokens.ResolveGateway,
+  get: gatewayComponents.GatewayResolver,
 ): gatewayState.GatewayState =>
   new gatewayState.GatewayState({
     now: () => get('options').clock.now(),
@@ -94,22 +94,22 @@
   });
 
 const createSubscription = (
-  get: gatewayTokens.ResolveGateway,
+  get: gatewayComponents.GatewayResolver,
 ): fleet.ViewSubscription =>
   new fleet.ViewSubscription({
     clock: get('options').clock,
     transport: get('transport').send,
     views: Object.values(get('views')),
     findSources: () => get('watching').findSources(),
-    staleAfterMs: kind => get('watching').freshMs(kind),
+    staleAfterMs: kind => get('watching').staleAfterMs(kind),
     onUpdate: get('takeView'),
     isWatcher: () => get('watching').isWatcher(),
     onFailure: (peer, error) => {
-      get('fleetWatch').noteFailure(peer, error);
+      get('fleetWatch').logPeerFailure(peer, error);
     },
-    createReport: source => get('reports').createForWatcher(source),
+    createReport: source => get('reports').createFollowerReport(source),
     onSummary: (source, summary) => {
-      get('reports').takeSummary(source, summary);
+      get('reports').applySummary(source, summary);
     },
     onSourceChange: source => {
       get('log').belief('watch_source_changed', {source});
@@ -118,8 +118,8 @@
 
 /** Creates the factories. */
 export const createStoreFactories = (
-  options: gatewayTokens.GatewayOptions,
-): gatewayTokens.PartFactories<StorePart> => ({
+  options: gatewayComponents.GatewayOptions,
+): gatewayComponents.ComponentFactories<StoreComponent> => ({
   store: () => options.store ?? createStore(options),
   views: createViews,
   state: createState,
@@ -142,14 +142,14 @@
       transport: get('transport').send,
       views: Object.values(get('views')),
       onUpdate: get('takeView'),
-      staleAfterMs: kind => get('watching').freshMs(kind),
+      staleAfterMs: kind => get('watching').staleAfterMs(kind),
     }),
   takeView: get => view => {
-    get('state').take(view);
+    get('state').applyView(view);
     get('relay').wakeWaiters();
   },
   watching: get =>
-    new storeWatching.StoreWatching({
+    new watchRole.WatchRole({
       now: () => options.clock.now(),
       members: get('members'),
       views: get('views'),
--- a/packages/amaranthknot/src/instance-tokens.ts
+++ b/packages/amaranthknot/src/instance-components.ts
@@ -9,7 +9,7 @@
 import type * as instanceOptions from './instance-options.js';
 
 /** Parts of a running instance, by token. */
-export interface Parts {
+export interface InstanceComponents {
   readonly options: instanceOptions.InstanceOptions;
   readonly incarnation: string;
   readonly store: ports.ObjectStore;
@@ -42,4 +42,6 @@
 }
 
 /** Resolves one part. */
-export type Resolve = <K extends keyof Parts>(token: K) => Parts[K];
+export type InstanceResolver = <K extends keyof InstanceComponents>(
+  token: K,
+) => InstanceComponents[K];
--- a/packages/amaranthknot/src/instance-views.ts
+++ b/packages/amaranthknot/src/instance-state.ts
@@ -1,11 +1,11 @@
 /** What an entry instance tells callers and operators of itself. */
 import type * as entry from '@amaranthknot/entry';
 import * as membership from '@amaranthknot/membership';
-import type * as instanceTokens from './instance-tokens.js';
+import type * as instanceComponents from './instance-components.js';
 
 /** Zones that operators have taken out. */
-export const excludedZones = (
-  get: instanceTokens.Resolve,
+export const listExcludedZones = (
+  get: instanceComponents.InstanceResolver,
 ): ReadonlySet<string> => {
   const zones = get('follower').activeConfiguration()?.document.zones ?? [];
   return new Set(
@@ -15,10 +15,10 @@
 
 /** Addresses for callers: none in a zone that is out, while others are left. */
 export const offerAddresses = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
   zone?: string,
 ): readonly entry.OfferedAddress[] => {
-  const out = excludedZones(get);
+  const out = listExcludedZones(get);
   const peers = get('peers');
   const all = [peers.self(), ...peers.all()];
   const inside = all.filter(peer => !out.has(peer.zone));
@@ -31,7 +31,9 @@
 };
 
 /** State of this instance for operators, as JSON. */
-export const describeState = (get: instanceTokens.Resolve): object => {
+export const describeState = (
+  get: instanceComponents.InstanceResolver,
+): object => {
   const follower = get('follower');
   const peers = get('peers');
   return {
--- a/packages/amaranthknot/src/instance-parts.ts
+++ b/packages/amaranthknot/src/instance-wiring.ts
@@ -14,28 +14,30 @@
 import * as telemetry from '@amaranthknot/telemetry';
 import * as upstreams from '@amaranthknot/upstreams';
 import type * as instanceOptions from './instance-options.js';
-import type * as instanceTokens from './instance-tokens.js';
-import * as billCopyParts from './bill-copy-parts.js';
-import * as instanceViews from './instance-views.js';
-import * as peerServerParts from './peer-server-parts.js';
-import * as rolloutParts from './rollout-parts.js';
-import * as upstreamParts from './upstream-parts.js';
+import type * as instanceComponents from './instance-components.js';
+import * as billCopyWiring from './bill-copy-wiring.js';
+import * as instanceState from './instance-state.js';
+import * as peerServer from './peer-server.js';
+import * as rolloutWiring from './rollout-wiring.js';
+import * as upstreamWiring from './upstream-wiring.js';
 
 type Factories = {
-  readonly [K in keyof instanceTokens.Parts]: (
-    get: instanceTokens.Resolve,
-  ) => instanceTokens.Parts[K];
+  readonly [K in keyof instanceComponents.InstanceComponents]: (
+    get: instanceComponents.InstanceResolver,
+  ) => instanceComponents.InstanceComponents[K];
 };
 
 /** Longest time to ask a claim's owner, in milliseconds. */
-const ASK_OWNER_MS = 500;
+const CLAIM_OWNER_TIMEOUT_MS = 500;
 
 const random = (): number => Math.random();
 
-const createHttp = (url: string, key: string | undefined) =>
+const createHttpClient = (url: string, key: string | undefined) =>
   new ports.HttpClient({url, ...(key === undefined ? {} : {key})});
 
-const createPeers = (get: instanceTokens.Resolve): membership.PeerTable => {
+const createPeers = (
+  get: instanceComponents.InstanceResolver,
+): membership.PeerTable => {
   const {settings, clock} = get('options');
   const {id, zone} = settings.instance;
   return new membership.PeerTable({
@@ -48,7 +50,7 @@
 };
 
 const createFollower = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
 ): membership.ConfigurationFollower => {
   const {settings, clock} = get('options');
   return new membership.ConfigurationFollower({
@@ -68,12 +70,17 @@
   });
 };
 
-const findOwner = (get: instanceTokens.Resolve, incarnation: string) =>
+const findOwner = (
+  get: instanceComponents.InstanceResolver,
+  incarnation: string,
+) =>
   get('peers')
     .all()
     .find(peer => incarnation.startsWith(`${peer.id}.`));
 
-const createClaims = (get: instanceTokens.Resolve): ledger.ClaimKeeper =>
+const createClaims = (
+  get: instanceComponents.InstanceResolver,
+): ledger.ClaimKeeper =>
   new ledger.ClaimKeeper({
     limits: {
       maxInProgress: get('options').settings.limits.maxPendingClaims,
@@ -93,13 +100,15 @@
         peer.address,
         'describe_claim',
         {incarnation, owner},
-        ASK_OWNER_MS,
+        CLAIM_OWNER_TIMEOUT_MS,
       );
       return answer.map(({state}) => state).orDefault('no_answer');
     },
   });
 
-const createBills = (get: instanceTokens.Resolve): ledger.BillKeeper =>
+const createBills = (
+  get: instanceComponents.InstanceResolver,
+): ledger.BillKeeper =>
   new ledger.BillKeeper({
     store: get('store'),
     clock: get('options').clock,
@@ -108,11 +117,13 @@
     copyToPeers: batch => get('peerCopies').copy(batch),
     limits: {
       maxPending: get('options').settings.limits.maxPendingBills,
-      copyQuorum: billCopyParts.BILL_COPIES,
+      copyQuorum: billCopyWiring.BILL_COPY_QUORUM,
     },
   });
 
-const createServer = (get: instanceTokens.Resolve): entry.EntryServer => {
+const createServer = (
+  get: instanceComponents.InstanceResolver,
+): entry.EntryServer => {
   const {settings, secrets, clock} = get('options');
   const follower = get('follower');
   return new entry.EntryServer({
@@ -128,11 +139,11 @@
     innerKey: secrets.innerKey,
     inForce: () =>
       follower.mayTakeWork() ? follower.activeConfiguration() : undefined,
-    offerAddresses: zone => instanceViews.offerAddresses(get, zone),
+    offerAddresses: zone => instanceState.offerAddresses(get, zone),
     admission: get('admission'),
     cascades: get('cascades'),
     assignVersion: (model, sessionKey) =>
-      rolloutParts.assignVersion(get, model, sessionKey),
+      rolloutWiring.assignVersion(get, model, sessionKey),
     pinVersion: (workspace, sessionId, model, version) =>
       get('pins').pin(workspace, sessionId, model, version),
     placeStage: (run, tried) =>
@@ -152,16 +163,16 @@
     metrics: get('metrics'),
     logger: get('logger'),
     handlePeer: text => get('peerServer').handle(text),
-    describeState: () => instanceViews.describeState(get),
-    offerForRating: given => rolloutParts.offerForRating(get, given),
+    describeState: () => instanceState.describeState(get),
+    offerForRating: given => rolloutWiring.offerForRating(get, given),
     noteCold: upstream => get('warmUp').noteRefusal(upstream),
     countVersion: (model, version, sign) =>
-      rolloutParts.countVersion(get, model, version, sign),
+      rolloutWiring.countVersion(get, model, version, sign),
   });
 };
 
 const createDuties = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
 ): membership.LeasedTaskRunner =>
   new membership.LeasedTaskRunner({
     store: get('store'),
@@ -172,7 +183,7 @@
   });
 
 const createRatingDesk = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
 ): entry.RatingDesk | undefined => {
   const {settings, secrets} = get('options');
   const {rating} = settings.platform;
@@ -181,15 +192,17 @@
   }
   return new entry.RatingDesk({
     service: new ports.HttpRatingService(
-      createHttp(rating, secrets.platformKey),
+      createHttpClient(rating, secrets.platformKey),
     ),
     source: get('incarnation'),
     random,
-    onRating: (answer, value) => rolloutParts.takeRating(get, answer, value),
+    onRating: (answer, value) => rolloutWiring.applyRating(get, answer, value),
   });
 };
 
-const createEvents = (get: instanceTokens.Resolve): telemetry.EventRing => {
+const createEvents = (
+  get: instanceComponents.InstanceResolver,
+): telemetry.EventRing => {
   const {settings, clock} = get('options');
   return new telemetry.EventRing(
     settings.instance.id,
@@ -203,20 +216,20 @@
 ): Factories => ({
   options: () => options,
   incarnation: get =>
-    billCopyParts.nameIncarnation(
+    billCopyWiring.formatIncarnation(
       options.settings.instance.id,
       get('peers').self().incarnation,
     ),
   store: () =>
     new ports.HttpObjectStore(
-      createHttp(
+      createHttpClient(
         options.settings.platform.objectApi,
         options.secrets.platformKey,
       ),
     ),
   instanceList: () =>
     new ports.HttpInstanceList(
-      createHttp(
+      createHttpClient(
         options.settings.platform.instanceList,
         options.secrets.platformKey,
       ),
@@ -238,8 +251,8 @@
       zone: options.settings.instance.zone,
       random,
     }),
-  directory: upstreamParts.createDirectory,
-  warmUp: upstreamParts.createWarmUp,
+  directory: upstreamWiring.createDirectory,
+  warmUp: upstreamWiring.createWarmUp,
   zoneRamp: () => new entry.ZoneRamp(() => options.clock.now()),
   admission: () =>
     new entry.AdmissionGate(
@@ -251,7 +264,7 @@
     ),
   claims: createClaims,
   bills: createBills,
-  peerCopies: billCopyParts.createPeerCopies,
+  peerCopies: billCopyWiring.createPeerCopies,
   copyHolder: () => new ledger.CopyHolder({clock: options.clock}),
   pins: get => new entry.PinRegistry(get('store')),
   // A few requests an hour must survive a failing upstream too: at a low rate
@@ -264,17 +277,18 @@
   rolloutCounters: () => new entry.RolloutCounters(),
   rolloutShares: get => new entry.RolloutShares(get('store'), options.clock),
   ratingDesk: createRatingDesk,
-  peerServer: peerServerParts.createPeerServer,
+  peerServer: peerServer.createPeerServer,
   server: createServer,
 });
 
 /** Registers all parts; returns how to get one. */
-export const wireParts = (
+export const wireInstance = (
   options: instanceOptions.InstanceOptions,
-): instanceTokens.Resolve => {
+): instanceComponents.InstanceResolver => {
   const container = tsyringe.container.createChildContainer();
-  const get: instanceTokens.Resolve = token => container.resolve(token);
-  const register = <K extends keyof instanceTokens.Parts>(
+  const get: instanceComponents.InstanceResolver = token =>
+    container.resolve(token);
+  const register = <K extends keyof instanceComponents.InstanceComponents>(
     token: K,
     factory: Factories[K],
   ): void => {
@@ -285,7 +299,7 @@
   const factories = createFactories(options);
   for (const token of Object.keys(
     factories,
-  ) as (keyof instanceTokens.Parts)[]) {
+  ) as (keyof instanceComponents.InstanceComponents)[]) {
     register(token, factories[token]);
   }
   return get;
--- a/packages/amaranthknot/src/main.ts
+++ b/packages/amaranthknot/src/main.ts
@@ -3,7 +3,7 @@
 import * as processStreams from './process-streams.js';
 
 /** Loads one command. */
-type Load = () => Promise<command.Command>;
+type CommandLoader = () => Promise<command.Command>;
 
 const OPERATOR_COMMANDS = [
   'apply',
@@ -30,20 +30,23 @@
  * Each command is loaded when it is asked for: what the others need would
  * double the time that an instance takes to start again.
  */
-const COMMANDS: ReadonlyMap<string, Load> = new Map<string, Load>([
+const COMMANDS: ReadonlyMap<string, CommandLoader> = new Map<
+  string,
+  CommandLoader
+>([
   ['demo', async () => (await import('./commands/demo.js')).demo],
   ['explain', async () => (await import('./commands/explain.js')).explain],
   ['fakes', async () => (await import('./commands/fakes.js')).fakes],
   ['gateway', async () => (await import('./commands/gateway.js')).gateway],
   ['serve', async () => (await import('./commands/serve.js')).serve],
-  ...OPERATOR_COMMANDS.map((name): [string, Load] => [
+  ...OPERATOR_COMMANDS.map((name): [string, CommandLoader] => [
     name,
     () => loadOperatorCommand(name),
   ]),
 ]);
 
 /** The command that is told of new settings by a signal. */
-const LASTING_COMMAND = 'gateway';
+const LONG_RUNNING_COMMAND = 'gateway';
 
 const streams = processStreams.PROCESS_STREAMS;
 
@@ -74,7 +77,7 @@
     streams.err(`no command ${name}${await suggest(name)}\n`);
     return 2;
   }
-  if (name === LASTING_COMMAND) {
+  if (name === LONG_RUNNING_COMMAND) {
     // Told of new settings while its program still loads, a process would end
     // by that signal; it reads its settings after this line anyway.
     process.on('SIGHUP', () => undefined);
--- a/packages/amaranthknot/src/operator/in-force.ts
+++ b/packages/amaranthknot/src/operator/active-document.ts
@@ -3,11 +3,11 @@
 import * as membership from '@amaranthknot/membership';
 import type * as ports from '@amaranthknot/ports';
 import * as purify from 'purify-ts';
-import type * as operations from './operations.js';
+import type * as operatorConnection from './operator-connection.js';
 import * as outcome from './outcome.js';
 
 /** A document in force. */
-export interface InForce {
+export interface ActiveDocument {
   readonly generation: number;
   readonly digest: string;
   readonly document: configuration.Document;
@@ -18,10 +18,10 @@
  * write about once a second together, and one try takes some tens of
  * milliseconds, so five lost races in a row mean that something is wrong.
  */
-const MAX_TRIES = 5;
+const MAX_ATTEMPTS = 5;
 
 const describeStoreError = (error: ports.StoreError): outcome.Failure =>
-  outcome.fail('unavailable', `the object API: ${error.message}`);
+  outcome.createFailure('unavailable', `the object API: ${error.message}`);
 
 /** Turns an error of a publication into a failure. */
 export const describePublishError = (
@@ -29,18 +29,18 @@
 ): outcome.Failure => {
   switch (error.code) {
     case 'conflict':
-      return outcome.fail('conflict', error.message);
+      return outcome.createFailure('conflict', error.message);
     case 'not_found':
-      return outcome.fail('not_found', error.message);
+      return outcome.createFailure('not_found', error.message);
     case 'unavailable':
-      return outcome.fail(
+      return outcome.createFailure(
         'unavailable',
         `nothing was put in force: ${error.message}`,
       );
     case 'unknown': {
       const message = `it may or may not be in force, look at status: ${error.message}`;
       const {publication} = error;
-      return outcome.fail('unknown_outcome', message, {publication});
+      return outcome.createFailure('unknown_outcome', message, {publication});
     }
   }
 };
@@ -48,7 +48,7 @@
 const readDocument = async (
   store: ports.ObjectStore,
   {generation, digest}: membership.Head,
-): Promise<purify.Either<outcome.Failure, InForce>> => {
+): Promise<purify.Either<outcome.Failure, ActiveDocument>> => {
   const read = await membership.readDocument(store, digest);
   return read
     .mapLeft(describeStoreError)
@@ -56,10 +56,10 @@
 };
 
 /** Reads what is in force; nothing when nothing was ever published. */
-export const findInForce = async (
+export const findActive = async (
   store: ports.ObjectStore,
   environment: string,
-): Promise<purify.Either<outcome.Failure, InForce | undefined>> => {
+): Promise<purify.Either<outcome.Failure, ActiveDocument | undefined>> => {
   const head = await membership.readHead(store, environment);
   const found = head.orDefault(undefined)?.head;
   return found === undefined
@@ -68,7 +68,7 @@
 };
 
 /** Names environments that have something in force, to find a misspelt one. */
-const describeNothing = async (
+const describeNoneActive = async (
   store: ports.ObjectStore,
   environment: string,
 ): Promise<outcome.Failure> => {
@@ -79,39 +79,39 @@
   const nearest = configuration.findNearest(environment, names);
   const hint = nearest === undefined ? '' : `; did you mean "${nearest}"?`;
   const message = `nothing is in force for ${environment}${hint}`;
-  return outcome.fail('not_found', message, {nearest});
+  return outcome.createFailure('not_found', message, {nearest});
 };
 
 /** Reads what is in force; a failure when nothing was ever published. */
-export const readInForce = async (
+export const readActive = async (
   store: ports.ObjectStore,
   environment: string,
-): Promise<purify.Either<outcome.Failure, InForce>> => {
-  const found = await findInForce(store, environment);
+): Promise<purify.Either<outcome.Failure, ActiveDocument>> => {
+  const found = await findActive(store, environment);
   if (found.isRight() && found.extract() === undefined) {
-    return purify.Left(await describeNothing(store, environment));
+    return purify.Left(await describeNoneActive(store, environment));
   }
-  return found as purify.Either<outcome.Failure, InForce>;
+  return found as purify.Either<outcome.Failure, ActiveDocument>;
 };
 
 /** A change of a document, or why it can't be made. */
-export type Edit = (
+export type DocumentEdit = (
   document: configuration.Document,
 ) => purify.Either<outcome.Failure, configuration.Document>;
 
 /** What a change came to. */
-export interface Changed {
+export interface AppliedChange {
   readonly generation: number;
   readonly digest: string;
   readonly changes: readonly configuration.Change[];
 }
 
 const tryChange = async (
-  reached: Pick<operations.Operations, 'store'>,
+  reached: Pick<operatorConnection.OperatorConnection, 'store'>,
   environment: string,
-  edit: Edit,
-): Promise<purify.Either<outcome.Failure, Changed>> => {
-  const read = await readInForce(reached.store, environment);
+  edit: DocumentEdit,
+): Promise<purify.Either<outcome.Failure, AppliedChange>> => {
+  const read = await readActive(reached.store, environment);
   const edited = read.chain(({document}) =>
     edit(document).chain(after =>
       configuration
@@ -145,12 +145,12 @@
  * lost answer is settled by doing it again, since edits set states.
  */
 export const changeDocument = async (
-  reached: Pick<operations.Operations, 'store'>,
+  reached: Pick<operatorConnection.OperatorConnection, 'store'>,
   environment: string,
-  edit: Edit,
-): Promise<purify.Either<outcome.Failure, Changed>> => {
+  edit: DocumentEdit,
+): Promise<purify.Either<outcome.Failure, AppliedChange>> => {
   let result = await tryChange(reached, environment, edit);
-  for (let tries = 1; tries < MAX_TRIES; tries++) {
+  for (let tries = 1; tries < MAX_ATTEMPTS; tries++) {
     const code = result.swap().map(failure => failure.code);
     const mayRepeat = code
       .map(found => found === 'conflict' || found === 'unknown_outcome')
--- a/packages/amaranthknot/src/operator/change-and-wait.ts
+++ b/packages/amaranthknot/src/operator/change-and-wait.ts
@@ -1,24 +1,28 @@
 /** Changes what is in force by an edit, and waits for it if asked to. */
 import * as configuration from '@amaranthknot/configuration';
 import type * as createCommand from './create-command.js';
-import * as inForce from './in-force.js';
-import * as waits from './wait-everywhere.js';
+import * as activeDocument from './active-document.js';
+import * as waitForInstances from './wait-for-instances.js';
 
 /** Runs an edit for a command that takes `WAIT_FLAGS`. */
 export const changeAndWait = async (
-  context: createCommand.OperatorContext<typeof waits.WAIT_FLAGS>,
-  edit: inForce.Edit,
+  context: createCommand.OperatorContext<typeof waitForInstances.WAIT_FLAGS>,
+  edit: activeDocument.DocumentEdit,
 ): Promise<createCommand.Result> => {
-  const {operations: reached, environment, given, showProgress} = context;
-  const changed = await inForce.changeDocument(reached, environment, edit);
+  const {connection: reached, environment, given, showProgress} = context;
+  const changed = await activeDocument.changeDocument(
+    reached,
+    environment,
+    edit,
+  );
   if (changed.isLeft()) {
     return changed;
   }
   const {generation, digest, changes} = changed.unsafeCoerce();
-  const waited = await waits.waitEverywhere(reached, {
+  const waited = await waitForInstances.waitForInstances(reached, {
     environment,
     generation,
-    choice: given.flags,
+    flags: given.flags,
     showProgress,
   });
   const done =
@@ -29,7 +33,7 @@
     lines: [
       ...done,
       `${environment}: generation ${generation}`,
-      ...waits.formatWaited(instances),
+      ...waitForInstances.formatWaitResult(instances),
     ],
     json: {environment, generation, digest, changes, instances},
   }));
--- a/packages/amaranthknot/src/operator/refuse-returns.ts
+++ b/packages/amaranthknot/src/operator/check-reactivations.ts
@@ -8,7 +8,7 @@
  *
  * @param before nothing when nothing was in force.
  */
-export const refuseReturns = (
+export const checkReactivations = (
   before: configuration.Document | undefined,
   after: configuration.Document,
   mayBringBack: boolean,
--- a/packages/amaranthknot/src/operator/create-command.ts
+++ b/packages/amaranthknot/src/operator/create-command.ts
@@ -1,7 +1,7 @@
 /** Makes commands of what they do; parsing and printing stand here once. */
 import * as purify from 'purify-ts';
 import type * as command from '../command.js';
-import * as operations from './operations.js';
+import * as operatorConnection from './operator-connection.js';
 import * as outcome from './outcome.js';
 import * as parseArguments from './parse-arguments.js';
 
@@ -31,16 +31,16 @@
 > extends Description<F> {
   act(
     given: parseArguments.Arguments<F>,
-    readFile: operations.ReadFile,
+    readFile: operatorConnection.ReadFile,
   ): Result;
 }
 
 /** What an operators' command works with. */
 export interface OperatorContext<F extends parseArguments.Flags> {
-  readonly operations: operations.Operations;
+  readonly connection: operatorConnection.OperatorConnection;
   readonly environment: string;
   readonly given: parseArguments.Arguments<F>;
-  readonly readFile: operations.ReadFile;
+  readonly readFile: operatorConnection.ReadFile;
   /** Tells a person who waits what is going on. */
   readonly showProgress: (text: string) => void;
 }
@@ -82,7 +82,9 @@
     };
     const parsed = parseArguments
       .parseArguments(args, syntax)
-      .mapLeft(message => outcome.fail('usage', `${message}; see --help`));
+      .mapLeft(message =>
+        outcome.createFailure('usage', `${message}; see --help`),
+      );
     const isJson = args.includes('--json');
     if (parsed.isLeft()) {
       return printResult(parsed, isJson, streams);
@@ -107,11 +109,11 @@
 };
 
 const createContext = <F extends parseArguments.Flags>(
-  opened: operations.Operations,
+  opened: operatorConnection.OperatorConnection,
   given: parseArguments.Arguments<F>,
   streams: command.CommandStreams,
 ): OperatorContext<F> => ({
-  operations: opened,
+  connection: opened,
   environment:
     (given.flags as unknown as OperatorFlags).environment ?? opened.environment,
   given,
@@ -126,7 +128,7 @@
 /** Creates a command that reaches the platform by `--settings FILE`. */
 export const createOperatorCommand = <F extends parseArguments.Flags>(
   operator: OperatorCommand<F>,
-  connect: operations.Connect,
+  connect: operatorConnection.Connect,
 ): command.Command => ({
   summary: operator.summary,
   help: operator.help,
@@ -134,7 +136,7 @@
     const {settings} = given.flags as unknown as OperatorFlags;
     if (settings === undefined) {
       return purify.Left(
-        outcome.fail('usage', 'needs --settings FILE; see --help'),
+        outcome.createFailure('usage', 'needs --settings FILE; see --help'),
       );
     }
     const opened = connect(settings, streams.readFile);
--- a/packages/amaranthknot/src/operator/operations.ts
+++ b/packages/amaranthknot/src/operator/operator-connection.ts
@@ -9,7 +9,7 @@
 export type ReadFile = (path: string) => string;
 
 /** The platform and the entry instances of an environment. */
-export interface Operations {
+export interface OperatorConnection {
   /** Environment of the settings, for commands that name none. */
   readonly environment: string;
   readonly store: ports.ObjectStore;
@@ -24,7 +24,7 @@
 export type Connect = (
   path: string,
   readFile: ReadFile,
-) => purify.Either<outcome.Failure, Operations>;
+) => purify.Either<outcome.Failure, OperatorConnection>;
 
 /** Reads a file, or says why it can't be read. */
 export const readText = (
@@ -32,7 +32,7 @@
   readFile: ReadFile,
 ): purify.Either<outcome.Failure, string> =>
   purify.Either.encase(() => readFile(path)).mapLeft(error =>
-    outcome.fail('unreadable_file', `${path}: ${error.message}`),
+    outcome.createFailure('unreadable_file', `${path}: ${error.message}`),
   );
 
 const readSecret = (
@@ -42,7 +42,7 @@
   configuration
     .readSecret(secret, readFile)
     .mapLeft(({path, code, message}) =>
-      outcome.fail(
+      outcome.createFailure(
         code === 'unreadable' ? 'unreadable_file' : 'invalid_file',
         `${path}: ${message}`,
       ),
@@ -56,11 +56,11 @@
     ? purify.Right({})
     : readSecret(settings.platform.key, readFile).map(key => ({key}));
 
-const createOperations = (
+const createConnection = (
   settings: configuration.Settings,
   innerKey: string,
   platformKey: {readonly key?: string},
-): Operations => {
+): OperatorConnection => {
   const {objectApi, instanceList} = settings.platform;
   const createClient = (url: string): ports.HttpClient =>
     new ports.HttpClient({url, ...platformKey});
@@ -86,7 +86,7 @@
     .chain(settings =>
       readSecret(settings.keys.innerKey, readFile).chain(innerKey =>
         readPlatformKey(settings, readFile).map(platformKey =>
-          createOperations(settings, innerKey, platformKey),
+          createConnection(settings, innerKey, platformKey),
         ),
       ),
     );
--- a/packages/amaranthknot/src/operator/outcome.ts
+++ b/packages/amaranthknot/src/operator/outcome.ts
@@ -47,7 +47,7 @@
 }
 
 /** Creates a failure of one line. */
-export const fail = (
+export const createFailure = (
   code: FailureCode,
   message: string,
   details?: Readonly<Record<string, unknown>>,
@@ -77,7 +77,11 @@
   const hint = nearest === undefined ? '' : `; did you mean "${nearest}"?`;
   const listed = names.length === 0 ? 'there are none' : names.join(', ');
   const message = `there is no ${kind} "${name}"${hint} (${listed})`;
-  return fail('unknown_name', message, nearest === undefined ? {} : {nearest});
+  return createFailure(
+    'unknown_name',
+    message,
+    nearest === undefined ? {} : {nearest},
+  );
 };
 
 const print = (lines: readonly string[]): string =>
--- a/packages/amaranthknot/src/operator/wait-everywhere.ts
+++ b/packages/amaranthknot/src/operator/wait-for-instances.ts
@@ -2,7 +2,7 @@
 import * as membership from '@amaranthknot/membership';
 import type * as ports from '@amaranthknot/ports';
 import * as purify from 'purify-ts';
-import type * as operations from './operations.js';
+import type * as operatorConnection from './operator-connection.js';
 import * as outcome from './outcome.js';
 
 /** Longest wait; a change is in force everywhere within 17 s. */
@@ -15,16 +15,16 @@
 } as const;
 
 /** Values of `WAIT_FLAGS`. */
-export interface WaitChoice {
+export interface WaitFlagValues {
   readonly wait: boolean;
   readonly waitMs: number | undefined;
 }
 
 /** What to wait for, and whom to tell. */
-export interface Wait {
+export interface WaitOptions {
   readonly environment: string;
   readonly generation: number;
-  readonly choice: WaitChoice;
+  readonly flags: WaitFlagValues;
   readonly showProgress: (text: string) => void;
 }
 
@@ -34,7 +34,10 @@
 ): Promise<purify.Either<outcome.Failure, readonly ports.ListedInstance[]>> =>
   (await instances.list())
     .mapLeft(error =>
-      outcome.fail('unavailable', `the instance list: ${error.message}`),
+      outcome.createFailure(
+        'unavailable',
+        `the instance list: ${error.message}`,
+      ),
     )
     .map(listed => listed.filter(({role}) => role === 'entry'));
 
@@ -66,11 +69,11 @@
  *
  * @return how many instances have it; undefined when not asked to wait.
  */
-export const waitEverywhere = async (
-  reached: operations.Operations,
-  wait: Wait,
+export const waitForInstances = async (
+  reached: operatorConnection.OperatorConnection,
+  wait: WaitOptions,
 ): Promise<purify.Either<outcome.Failure, number | undefined>> => {
-  const {environment, generation, choice, showProgress} = wait;
+  const {environment, generation, flags: choice, showProgress} = wait;
   if (!choice.wait) {
     return purify.Right(undefined);
   }
@@ -97,7 +100,7 @@
 };
 
 /** The line that a wait adds for people. */
-export const formatWaited = (
+export const formatWaitResult = (
   instances: number | undefined,
 ): readonly string[] =>
   instances === undefined ? [] : [`in force on all ${instances} instances`];
--- a/packages/amaranthknot/src/peer-server-parts.ts
+++ b/packages/amaranthknot/src/peer-server.ts
@@ -1,15 +1,15 @@
 /** Wires what an entry instance answers to its peers. */
 import * as protocol from '@amaranthknot/protocol';
-import * as billCopyParts from './bill-copy-parts.js';
-import type * as instanceTokens from './instance-tokens.js';
+import * as billCopyWiring from './bill-copy-wiring.js';
+import type * as instanceComponents from './instance-components.js';
 
 /** Creates the server of messages between instances. */
 export const createPeerServer = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
 ): protocol.PeerServer =>
   protocol.createPeerServer({
     ...get('follower').handlers(),
-    copy_bills: params => billCopyParts.holdCopies(get, params),
+    copy_bills: params => billCopyWiring.storeCopies(get, params),
     request_grant: params => get('warmUp').answer(params),
     fetch_evidence: ({rollout}) => ({
       incarnation: get('incarnation'),
--- a/packages/amaranthknot/src/rollout-parts.ts
+++ b/packages/amaranthknot/src/rollout-wiring.ts
@@ -5,11 +5,11 @@
 import type * as membership from '@amaranthknot/membership';
 import * as protocol from '@amaranthknot/protocol';
 import * as rollout from './commands/rollout.js';
-import type * as instanceTokens from './instance-tokens.js';
-import * as inForce from './operator/in-force.js';
+import type * as instanceComponents from './instance-components.js';
+import * as activeDocument from './operator/active-document.js';
 
 /** Share of answers that is rated. */
-const RATING_BUDGET = 0.1;
+const RATING_SHARE = 0.1;
 
 /** Below it a rating counts as bad. */
 const GOOD_RATING = 0.5;
@@ -18,16 +18,16 @@
 const EVIDENCE_TIMEOUT_MS = 500;
 
 const listRollouts = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
 ): readonly configuration.Rollout[] =>
   get('follower').activeConfiguration()?.document.rollouts ?? [];
 
-const environmentOf = (get: instanceTokens.Resolve): string =>
+const environmentOf = (get: instanceComponents.InstanceResolver): string =>
   get('options').settings.instance.environment;
 
 /** Counts a sign of a version, if a roll-out is about it. */
 export const countVersion = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
   model: string,
   version: string,
   sign: entry.VersionSign,
@@ -36,7 +36,7 @@
 
 /** Version that a roll-out gives a session that has none. */
 export const assignVersion = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
   model: string,
   sessionKey: string,
 ): string | undefined =>
@@ -48,8 +48,8 @@
   );
 
 /** Hands a rating to what learns from it. */
-export const takeRating = (
-  get: instanceTokens.Resolve,
+export const applyRating = (
+  get: instanceComponents.InstanceResolver,
   answer: entry.RatedAnswer,
   rating: number,
 ): void => {
@@ -62,22 +62,22 @@
 
 /** Chance that an answer is rated: more of a version that is rolled out. */
 const findRatingChance = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
   model: string,
   version: string,
 ): number => {
   const found = listRollouts(get).find(one => one.model === model);
   if (!found || found.state !== 'running') {
-    return RATING_BUDGET;
+    return RATING_SHARE;
   }
   const share = get('rolloutShares').shareOf(environmentOf(get), found);
-  const shares = decisions.allocateRatings(share, RATING_BUDGET);
+  const shares = decisions.allocateRatings(share, RATING_SHARE);
   return version === found.to ? shares.new : shares.old;
 };
 
 /** Offers a given answer to the rating service. */
 export const offerForRating = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
   {call, answer, text}: entry.GivenAnswer,
 ): void => {
   const {model, version} = answer;
@@ -102,7 +102,7 @@
 };
 
 const fetchEvidence = async (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
   peer: protocol.Peer,
   name: string,
 ): Promise<decisions.EvidenceByInstance> => {
@@ -121,7 +121,7 @@
 };
 
 const collectEvidence = async (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
   name: string,
 ): Promise<decisions.EvidenceByInstance> => {
   const peers = get('peers')
@@ -135,20 +135,20 @@
 };
 
 const withdraw = async (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
   model: string,
 ): Promise<boolean> => {
-  const changed = await inForce.changeDocument(
+  const changed = await activeDocument.changeDocument(
     {store: get('store')},
     environmentOf(get),
-    rollout.setRollout(model, 'withdrawn'),
+    rollout.setRolloutState(model, 'withdrawn'),
   );
   return changed.isRight();
 };
 
-const createWork =
+const createLeasedTask =
   (
-    get: instanceTokens.Resolve,
+    get: instanceComponents.InstanceResolver,
     one: configuration.Rollout,
   ): membership.LeasedTask =>
   term =>
@@ -166,18 +166,20 @@
       term,
     );
 
-const nameDuty = (environment: string, one: configuration.Rollout): string =>
-  `rollout.${entry.nameState(environment, one)}`;
+const formatTaskName = (
+  environment: string,
+  one: configuration.Rollout,
+): string => `rollout.${entry.nameState(environment, one)}`;
 
 /** Competes for the duties of running roll-outs, and reads their shares. */
-export const followRollouts = async (
-  get: instanceTokens.Resolve,
+export const updateRolloutTasks = async (
+  get: instanceComponents.InstanceResolver,
   known: Set<string>,
 ): Promise<void> => {
   const environment = environmentOf(get);
   const running = listRollouts(get).filter(one => one.state === 'running');
   const wanted = new Map(
-    running.map(one => [nameDuty(environment, one), one] as const),
+    running.map(one => [formatTaskName(environment, one), one] as const),
   );
   for (const name of [...known].filter(each => !wanted.has(each))) {
     known.delete(name);
@@ -186,7 +188,7 @@
   for (const [name, one] of wanted) {
     if (!known.has(name)) {
       known.add(name);
-      get('duties').add(name, createWork(get, one));
+      get('duties').add(name, createLeasedTask(get, one));
     }
   }
   if (listRollouts(get).length > 0) {
--- a/packages/amaranthknot/src/upstream-parts.ts
+++ b/packages/amaranthknot/src/upstream-wiring.ts
@@ -1,26 +1,28 @@
 /** Wires upstreams: where attempts are placed, and cold ones kept in bounds. */
 import * as entry from '@amaranthknot/entry';
 import * as protocol from '@amaranthknot/protocol';
-import type * as instanceTokens from './instance-tokens.js';
-import * as instanceViews from './instance-views.js';
+import type * as instanceComponents from './instance-components.js';
+import * as instanceState from './instance-state.js';
 
 /** Longest wait for slots of a cold upstream; below a grant's term, in ms. */
-const ASK_GRANT_MS = 250;
+const GRANT_TIMEOUT_MS = 250;
 
 /** Creates the directory of upstreams. */
 export const createDirectory = (
-  get: instanceTokens.Resolve,
+  get: instanceComponents.InstanceResolver,
 ): entry.UpstreamDirectory =>
   new entry.UpstreamDirectory({
     placement: get('placement'),
     clock: get('options').clock,
-    excludedZones: () => instanceViews.excludedZones(get),
+    excludedZones: () => instanceState.listExcludedZones(get),
     drawClosedZones: () => get('zoneRamp').listClosed(Math.random()),
     mayStart: id => get('warmUp').mayStart(id),
   });
 
 /** Creates the desk of warm-up grants. */
-export const createWarmUp = (get: instanceTokens.Resolve): entry.WarmUpDesk => {
+export const createWarmUp = (
+  get: instanceComponents.InstanceResolver,
+): entry.WarmUpDesk => {
   const {clock, warmUpTiming} = get('options');
   const peers = get('peers');
   return new entry.WarmUpDesk({
@@ -42,7 +44,7 @@
         peer.address,
         'request_grant',
         params,
-        ASK_GRANT_MS,
+        GRANT_TIMEOUT_MS,
       );
       return answer.toMaybe().extract();
     },
--- a/packages/amaranthknot/tests/whole-answer.test.ts
+++ b/packages/amaranthknot/tests/answer-integrity.test.ts
@@ -1,6 +1,6 @@
 import * as chai from 'chai';
-import type * as standIns from '@amaranthknot/fakes';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as fakes from '@amaranthknot/fakes';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 
 const PROMPT = 'tell me all about the meetup';
@@ -9,7 +9,7 @@
 const expectedText = (model: string): string => `${model} answers: ${PROMPT}`;
 
 describe('a chat answer', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   before(async () => {
     deployment = await fixtures.startDeployment();
   });
@@ -17,11 +17,11 @@
   afterEach(() => setFault('none', 0, 0));
 
   const setFault = (
-    fault: standIns.EngineFault,
+    fault: fakes.EngineFault,
     count: number,
     cutAfter: number,
   ) => {
-    for (const engine of deployment.standIns.engines.values()) {
+    for (const engine of deployment.fakes.engines.values()) {
       engine.fault = fault;
       engine.faultsLeft = count;
       engine.cutAfter = cutAfter;
@@ -32,7 +32,7 @@
   // is cut at some token. The caller must get its own answer, each token once.
   const cases: readonly {
     readonly name: string;
-    readonly fault: standIns.EngineFault;
+    readonly fault: fakes.EngineFault;
     readonly count: number;
     readonly cutAfter: number;
   }[] = [
@@ -46,10 +46,10 @@
   ];
   for (const {name, fault, count, cutAfter} of cases) {
     it(`is whole after ${name}`, async () => {
-      deployment.standIns.engines.forEach(engine => {
+      deployment.fakes.engines.forEach(engine => {
         engine.fault = 'none';
       });
-      const [engine] = deployment.standIns.engines.values();
+      const [engine] = deployment.fakes.engines.values();
       engine!.fault = fault;
       engine!.faultsLeft = count;
       engine!.cutAfter = cutAfter;
--- a/packages/amaranthknot/tests/at-most-once.test.ts
+++ b/packages/amaranthknot/tests/at-most-once.test.ts
@@ -1,20 +1,20 @@
 import * as chai from 'chai';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 
 describe('a booking, over three entry instances', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   beforeEach(async () => {
     deployment = await fixtures.startDeployment();
   });
   afterEach(() => deployment.stop());
 
   const countRuns = () =>
-    [...deployment.standIns.services.values()].flatMap(service => service.runs)
+    [...deployment.fakes.services.values()].flatMap(service => service.runs)
       .length;
 
   const setFault = (fault: 'none' | 'refuse' | 'cut_after' | 'cut_before') => {
-    for (const service of deployment.standIns.services.values()) {
+    for (const service of deployment.fakes.services.values()) {
       service.fault = fault;
     }
   };
@@ -65,7 +65,7 @@
   // The platform is down, so nothing can be claimed. The booking is refused as
   // not run, with when to come back; after the outage a retry runs it, once.
   it('is refused in a platform outage and runs once after it', async () => {
-    deployment.standIns.platform.mode = 'down';
+    deployment.fakes.platform.mode = 'down';
     const refused = await Promise.all(
       deployment.addresses.map(address => fixtures.book(address, 'key-4')),
     );
@@ -75,7 +75,7 @@
       chai.expect(Number(answer.headers.get('retry-after'))).greaterThan(0);
     }
     chai.expect(countRuns()).equal(0);
-    deployment.standIns.platform.mode = 'up';
+    deployment.fakes.platform.mode = 'up';
     let last = refused[0]!;
     for (let i = 0; i < 100 && last.status !== 200; i++) {
       await new Promise(resolve => setTimeout(resolve, 50));
@@ -88,7 +88,7 @@
   // The claim takes effect and the platform's answer is lost. The instance
   // reads the claim back, finds its own token, and sends the booking once.
   it('runs once when the answers to writes are lost', async () => {
-    deployment.standIns.platform.store.fault = operation =>
+    deployment.fakes.platform.store.fault = operation =>
       operation === 'create' ? 'lost_after' : 'none';
     const answer = await fixtures.book(deployment.addresses[0]!, 'key-5');
     chai.expect(answer.status).equal(200);
--- a/packages/amaranthknot/tests/bad-input.test.ts
+++ b/packages/amaranthknot/tests/bad-input.test.ts
@@ -2,7 +2,7 @@
 import * as chai from 'chai';
 import * as configuration from '@amaranthknot/configuration';
 import * as jsonwebtoken from 'jsonwebtoken';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 import * as rawCaller from './support/raw-caller.js';
 
@@ -23,7 +23,7 @@
 };
 
 describe('bad input', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   let address: string;
 
   before(async () => {
@@ -36,7 +36,7 @@
   after(() => deployment.stop());
 
   const startedCount = (): number =>
-    [...deployment.standIns.engines.values()].reduce(
+    [...deployment.fakes.engines.values()].reduce(
       (sum, engine) => sum + engine.started.length,
       0,
     );
@@ -120,7 +120,7 @@
       options: jsonwebtoken.SignOptions = {},
       key?: string,
     ): string => {
-      const {secrets} = deployment.instances[0]!.parts('options');
+      const {secrets} = deployment.instances[0]!.resolve('options');
       return jsonwebtoken.default.sign(claims, key ?? secrets.sessionKey, {
         algorithm: 'HS256',
         expiresIn: 60,
@@ -140,7 +140,7 @@
         () =>
           jsonwebtoken.default.sign(
             own,
-            deployment.instances[0]!.parts('options').secrets.sessionKey,
+            deployment.instances[0]!.resolve('options').secrets.sessionKey,
           ),
       ],
       ['that is none', () => 'abc'],
@@ -249,7 +249,7 @@
     });
     const [address = ''] = deployment.addresses;
     const instance = deployment.instances[0]!;
-    const engines = [...deployment.standIns.engines.values()];
+    const engines = [...deployment.fakes.engines.values()];
     engines.forEach(engine => (engine.fault = 'silent'));
     const first = new AbortController();
     const ask = (signal: AbortSignal) =>
@@ -267,7 +267,7 @@
         await new Promise(resolve => setImmediate(resolve));
       }
     };
-    const admission = instance.parts('admission');
+    const admission = instance.resolve('admission');
     const running = ask(first.signal);
     await until(() => admission.inFlight === 1);
     const second = new AbortController();
--- a/packages/amaranthknot/tests/bills.test.ts
+++ b/packages/amaranthknot/tests/bills.test.ts
@@ -1,23 +1,23 @@
 import * as chai from 'chai';
 import * as ledger from '@amaranthknot/ledger';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 import * as processes from './support/processes.js';
 
 describe('bills at one instance without peers', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   beforeEach(async () => {
     deployment = await fixtures.startDeployment({zones: ['zone-a']});
   });
   afterEach(() => deployment.stop());
 
   const setBillsDown = (isDown: boolean) => {
-    deployment.standIns.platform.store.fault = (_operation, kind) =>
+    deployment.fakes.platform.store.fault = (_operation, kind) =>
       isDown && kind === ledger.BILL_KIND ? 'down' : 'none';
   };
 
   const readBills = async (): Promise<ledger.BillSummary> =>
-    (await ledger.readBills(deployment.standIns.platform.store)).unsafeCoerce();
+    (await ledger.readBills(deployment.fakes.platform.store)).unsafeCoerce();
 
   // The platform refuses bills, and there is no peer to copy to. A booking has
   // run by then: its caller hears that it ran but gets no answer. The answer
@@ -36,7 +36,7 @@
       ran: 'not_run',
     });
     chai.expect(next.headers.get('retry-after')).match(/^\d+$/);
-    const {store} = deployment.standIns.platform;
+    const {store} = deployment.fakes.platform;
     const claims = (await store.list('claim')).unsafeCoerce();
     const states = claims.objects.map(
       object => (object.value as ledger.ClaimRecord).state,
--- a/packages/amaranthknot/tests/cold-upstream.test.ts
+++ b/packages/amaranthknot/tests/cold-upstream.test.ts
@@ -1,5 +1,5 @@
 import * as chai from 'chai';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 import * as processes from './support/processes.js';
 
@@ -9,7 +9,7 @@
 const CALLERS = 24;
 
 describe('an upstream in cold start, under three instances', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   beforeEach(async () => {
     deployment = await fixtures.startDeployment({
       upstreams: fixtures.createUpstreams().slice(0, 1),
@@ -19,14 +19,14 @@
   });
   afterEach(() => deployment.stop());
 
-  const findEngine = () => [...deployment.standIns.engines.values()][0]!;
+  const findEngine = () => [...deployment.fakes.engines.values()][0]!;
 
   const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
   const knowCold = () =>
     deployment.instances.every(instance =>
       instance
-        .parts('events')
+        .resolve('events')
         .read()
         .some(event => event.name === 'upstream_cold'),
     );
--- a/packages/amaranthknot/tests/fuzz-callers.test.ts
+++ b/packages/amaranthknot/tests/fuzz-callers.test.ts
@@ -1,7 +1,7 @@
 import * as http from 'node:http';
 import * as chai from 'chai';
 import * as fc from 'fast-check';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 import * as rawCaller from './support/raw-caller.js';
 
@@ -189,7 +189,7 @@
 };
 
 describe('the caller interface under random input', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   let address: string;
 
   before(async () => {
@@ -210,9 +210,9 @@
 
   it('is caught when a fault is planted', async () => {
     const instance = deployment.instances[0]!;
-    const logger = instance.parts('logger');
+    const logger = instance.resolve('logger');
     logger.silent = true;
-    const events = instance.parts('events');
+    const events = instance.resolve('events');
     const record = events.record.bind(events);
     events.record = (name, subject) => {
       if (name === 'request_received') {
--- a/packages/amaranthknot/tests/gateway/fleet-watch.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-change-logger.test.ts
@@ -1,9 +1,9 @@
 import * as chai from 'chai';
 import * as fleet from '@amaranthknot/fleet';
 import type * as telemetry from '@amaranthknot/telemetry';
-import * as fleetWatch from '../../src/gateway/fleet-watch.js';
+import * as fleetChangeLogger from '../../src/gateway/fleet-change-logger.js';
 import * as fixture from './gateway-fixture.js';
-import type * as storeWatching from '../../src/gateway/store-watching.js';
+import type * as watchRole from '../../src/gateway/watch-role.js';
 
 interface Line {
   readonly event: string;
@@ -14,8 +14,8 @@
   readonly members: fleet.MemberTable;
   readonly role: {isWatcher: boolean};
   readonly lines: readonly Line[];
-  readonly lookAt: (nowMs: number) => void;
-  readonly watch: fleetWatch.FleetWatch;
+  readonly logChangesAt: (nowMs: number) => void;
+  readonly watch: fleetChangeLogger.FleetChangeLogger;
 }
 
 const setUp = (): Setup => {
@@ -26,13 +26,13 @@
   const role = {isWatcher: false};
   const members = new fleet.MemberTable(fixture.createMember('self'));
   let nowMs = 0;
-  const watch = new fleetWatch.FleetWatch({
+  const watch = new fleetChangeLogger.FleetChangeLogger({
     now: () => nowMs,
     members,
     watching: {
       isWatcher: () => role.isWatcher,
       findWatchers: () => [members.self],
-    } as unknown as storeWatching.StoreWatching,
+    } as unknown as watchRole.WatchRole,
     log: {
       belief: note,
       trouble: note,
@@ -43,9 +43,9 @@
     role,
     lines,
     watch,
-    lookAt: at => {
+    logChangesAt: at => {
       nowMs = at;
-      watch.look();
+      watch.logChanges();
     },
   };
 };
@@ -55,7 +55,7 @@
 
 describe('what is noted of the fleet', () => {
   it('is each peer that is heard and lost, in one line a look', () => {
-    const {members, lines, lookAt} = setUp();
+    const {members, lines, logChangesAt: lookAt} = setUp();
     lookAt(0);
     members.merge([fixture.createMember('a'), fixture.createMember('b')], 100);
     lookAt(100);
@@ -70,7 +70,7 @@
   });
 
   it('is bounded where a zone is lost', () => {
-    const {members, lines, lookAt} = setUp();
+    const {members, lines, logChangesAt: lookAt} = setUp();
     const many = Array.from({length: 300}, (_, i) =>
       fixture.createMember(`i-${i}`),
     );
@@ -82,7 +82,7 @@
   });
 
   it('is when the instance begins and ceases to watch the store', () => {
-    const {role, lines, lookAt} = setUp();
+    const {role, lines, logChangesAt: lookAt} = setUp();
     lookAt(0);
     role.isWatcher = true;
     lookAt(200);
@@ -99,9 +99,9 @@
     // Refused reports left no line: who was lost could be seen, but not why.
     const {lines, watch} = setUp();
     const long = 'x'.repeat(1_000);
-    watch.noteFailure('p:1', {code: 'unknown', message: 'no answer'});
-    watch.noteFailure('p:1', {code: 'not_sent', message: 'refused'});
-    watch.noteFailure('p:1', {code: 'refused', message: long});
+    watch.logPeerFailure('p:1', {code: 'unknown', message: 'no answer'});
+    watch.logPeerFailure('p:1', {code: 'not_sent', message: 'refused'});
+    watch.logPeerFailure('p:1', {code: 'refused', message: long});
     chai.expect(namesOf(lines)).eql(['peer_message_refused']);
     chai.expect(lines[0]?.details['reason']).length(200);
   });
--- a/packages/amaranthknot/tests/gateway/fleet-life.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-membership.test.ts
@@ -5,8 +5,8 @@
 const SETTLE_MS = 6_000;
 
 /** Time for which a calm fleet is looked at, in ms, and how often. */
-const CALM_MS = 10_000;
-const LOOK_MS = 100;
+const OBSERVATION_MS = 10_000;
+const SAMPLE_INTERVAL_MS = 100;
 
 /** Most bytes that control may send, a second and instance. */
 const CONTROL_BYTES = 4_096;
@@ -21,8 +21,8 @@
 ): Promise<number> => {
   let losses = 0;
   const count = live().length;
-  for (let waitedMs = 0; waitedMs < forMs; waitedMs += LOOK_MS) {
-    await clock.advance(LOOK_MS);
+  for (let waitedMs = 0; waitedMs < forMs; waitedMs += SAMPLE_INTERVAL_MS) {
+    await clock.advance(SAMPLE_INTERVAL_MS);
     for (const {get} of live()) {
       losses += count - get('members').serving(clock.now()).length;
     }
@@ -42,7 +42,7 @@
   store.calls.list + store.calls.watch;
 
 /** Instances that take `id` for one that serves. */
-const countBelievers = (
+const countAwareInstances = (
   {clock, live}: virtualFleet.VirtualFleet,
   id: string,
 ): number =>
@@ -58,7 +58,7 @@
       // Live instances fell out of the directory for a moment, and callers
       // closed their connections to them.
       const fleet = await startFleet(instances);
-      chai.expect(await countFalseLosses(fleet, CALM_MS)).equal(0);
+      chai.expect(await countFalseLosses(fleet, OBSERVATION_MS)).equal(0);
     });
   }
 
@@ -71,7 +71,7 @@
     for (const id of [watcher, other]) {
       fleet.kill(id);
       await fleet.clock.advance(LOSS_KNOWN_MS);
-      chai.expect(countBelievers(fleet, id)).equal(0);
+      chai.expect(countAwareInstances(fleet, id)).equal(0);
       chai.expect(await countFalseLosses(fleet, 1_000)).equal(0);
     }
   });
@@ -84,7 +84,7 @@
     });
     await fleet.clock.advance(LOSS_KNOWN_MS);
     chai
-      .expect(lost.map(({id}) => countBelievers(fleet, id)))
+      .expect(lost.map(({id}) => countAwareInstances(fleet, id)))
       .eql(lost.map(() => 0));
     chai.expect(await countFalseLosses(fleet, 1_000)).equal(0);
   });
@@ -102,8 +102,8 @@
   it('stays within the bytes for control', async () => {
     const fleet = await startFleet(73);
     const before = fleet.sentBytes();
-    await fleet.clock.advance(CALM_MS);
-    const perSecond = (fleet.sentBytes() - before) / (CALM_MS / 1_000);
+    await fleet.clock.advance(OBSERVATION_MS);
+    const perSecond = (fleet.sentBytes() - before) / (OBSERVATION_MS / 1_000);
     chai.expect(perSecond / 73).below(CONTROL_BYTES);
   });
 });
@@ -138,7 +138,7 @@
     await fleet.clock.advance(1_500);
     const ages = fleet
       .live()
-      .map(({get}) => get('state').inForce()?.ageMs ?? Infinity);
+      .map(({get}) => get('state').activeTable()?.ageMs ?? Infinity);
     chai.expect(Math.max(...ages)).below(1_500);
   });
 });
--- a/packages/amaranthknot/tests/gateway/fleet-report.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-reports.test.ts
@@ -4,9 +4,9 @@
 import * as fleet from '@amaranthknot/fleet';
 import * as gateway from '@amaranthknot/gateway';
 import * as telemetry from '@amaranthknot/telemetry';
-import * as fleetReport from '../../src/gateway/fleet-report.js';
+import * as fleetReports from '../../src/gateway/fleet-reports.js';
 import * as fixture from './gateway-fixture.js';
-import type * as gatewayTokens from '../../src/gateway/gateway-tokens.js';
+import type * as gatewayComponents from '../../src/gateway/gateway-components.js';
 
 /** Time between two rounds in which all tell each other, in milliseconds. */
 const ROUND_MS = 250;
@@ -18,7 +18,7 @@
   readonly members: fleet.MemberTable;
   readonly picker: decisions.UpstreamPicker;
   readonly rollouts: gateway.RolloutTracker;
-  readonly reports: fleetReport.FleetReports;
+  readonly reports: fleetReports.FleetReports;
   readonly isWatcher: boolean;
 }
 
@@ -61,7 +61,7 @@
     },
   ]);
   picker.pick([{id: 'up', zone: 'a', slots: 8}], NO_WORK);
-  const parts = {
+  const components = {
     options: {clock},
     members,
     picker,
@@ -70,9 +70,9 @@
     relay: {report: () => []},
     watching: {isWatcher: () => isWatcher, findWatchers: () => []},
   };
-  const get = ((token: keyof typeof parts) =>
-    parts[token]) as unknown as gatewayTokens.ResolveGateway;
-  const reports = new fleetReport.FleetReports(get);
+  const get = ((token: keyof typeof components) =>
+    components[token]) as unknown as gatewayComponents.GatewayResolver;
+  const reports = new fleetReports.FleetReports(get);
   return {members, picker, rollouts, reports, isWatcher};
 };
 
@@ -85,16 +85,16 @@
 
 /** One instance reports to a watcher and is told of the fleet. */
 const follow = (follower: Instance, watcher: Instance): void => {
-  const report = follower.reports.createForWatcher(watcher.members.self);
-  watcher.reports.takeFromFollower(report);
-  const summary = watcher.reports.summarize(report);
-  follower.reports.takeSummary(watcher.members.self, summary);
+  const report = follower.reports.createFollowerReport(watcher.members.self);
+  watcher.reports.applyFollowerReport(report);
+  const summary = watcher.reports.createSummary(report);
+  follower.reports.applySummary(watcher.members.self, summary);
 };
 
 /** Two watchers tell each other all they know. */
 const exchange = (a: Instance, b: Instance): void => {
-  b.reports.take(a.reports.create(b.members.self.peers));
-  a.reports.take(b.reports.create(a.members.self.peers));
+  b.reports.applyReport(a.reports.createReport(b.members.self.peers));
+  a.reports.applyReport(b.reports.createReport(a.members.self.peers));
 };
 
 interface Fleet {
--- a/packages/amaranthknot/tests/gateway/gateway-fixture.ts
+++ b/packages/amaranthknot/tests/gateway/gateway-fixture.ts
@@ -127,7 +127,7 @@
 });
 
 /** Views of all kinds, empty. */
-export const createViews = (): gatewayState.Views => {
+export const createViews = (): gatewayState.ViewsByKind => {
   const view = (kind: gatewayState.FollowedKind) =>
     new fleet.KindView(platform.STORE_KINDS[kind]);
   return {
@@ -326,21 +326,21 @@
       );
     },
     stop: async () => {
-      await Promise.all(instances.map(instance => instance.abandon()));
+      await Promise.all(instances.map(instance => instance.kill()));
       await storeServer.stop();
     },
   };
 };
 
 /** Longest wait for a condition, in milliseconds; a failing test ends then. */
-const LONGEST_WAIT_MS = 10_000;
+const CONDITION_TIMEOUT_MS = 10_000;
 
 /** Waits for a condition that will come true. */
 export const waitUntil = async (
   isTrue: () => boolean,
   what = 'a condition',
 ): Promise<void> => {
-  const end = ports.systemClock.now() + LONGEST_WAIT_MS;
+  const end = ports.systemClock.now() + CONDITION_TIMEOUT_MS;
   while (!isTrue()) {
     if (ports.systemClock.now() > end) {
       throw new Error(`waited in vain for ${what}`);
--- a/packages/amaranthknot/tests/gateway/store-outage.test.ts
+++ b/packages/amaranthknot/tests/gateway/gateway-state.test.ts
@@ -51,7 +51,7 @@
     value: fixture.createEntry('127.0.0.1:1'),
   };
   view.replaceAll({objects: [entry], version: 1}, nowMs);
-  state.take(view);
+  state.applyView(view);
   return {
     state,
     catalog,
@@ -68,13 +68,13 @@
 /** The entry is gone in what is known as of now. */
 const removeEntry = ({state, view, now}: Setup): void => {
   view.replaceAll({objects: [], version: 2}, now());
-  state.take(view);
+  state.applyView(view);
 };
 
 /** Nothing changed as of now. */
 const confirm = ({state, view, now}: Setup): void => {
   view.applyChanges({version: 1, events: []}, now());
-  state.take(view);
+  state.applyView(view);
 };
 
 describe('upstreams whose entry went, and the store', () => {
@@ -84,11 +84,11 @@
     // outage, and kept the upstream for the grace time after another one had
     // told of its leaving.
     const setup = createState();
-    setup.state.noteStoreCall(FAILURE);
+    setup.state.recordStoreCall(FAILURE);
     setup.wait(1_300);
     confirm(setup);
     setup.wait(1_300);
-    setup.state.noteStoreCall(FAILURE);
+    setup.state.recordStoreCall(FAILURE);
     removeEntry(setup);
     chai.expect(setup.catalog.find('i-1')).equal(undefined);
   });
@@ -101,7 +101,7 @@
     removeEntry(setup);
     chai.expect(setup.catalog.find('i-1')).not.equal(undefined);
     setup.wait(gatewayState.LAPSE_GRACE_MS + 1);
-    setup.state.tick();
+    setup.state.expire();
     chai.expect(setup.catalog.find('i-1')).equal(undefined);
   });
 });
--- a/packages/amaranthknot/tests/gateway/leaving-upstreams.test.ts
+++ b/packages/amaranthknot/tests/gateway/leaving-upstreams.test.ts
@@ -7,7 +7,7 @@
 const SETTLE_MS = 6_000;
 
 /** How often instances are looked at, in ms. */
-const LOOK_MS = 20;
+const SAMPLE_INTERVAL_MS = 20;
 
 /** Moments of a loss: what watchers know is older or younger at each. */
 const LOST_AFTER_MS = [0, 150, 300, 600, 900, 1_200];
@@ -67,7 +67,7 @@
     const found = await store.get(KIND, name);
     await store.delete(KIND, name, found.unsafeCoerce().version);
   });
-  await clock.advance(LOOK_MS);
+  await clock.advance(SAMPLE_INTERVAL_MS);
   await Promise.all(removed);
 };
 
@@ -88,7 +88,7 @@
     );
   const startedAtMs = clock.now();
   while (isUsed() && clock.now() - startedAtMs < limitMs) {
-    await clock.advance(LOOK_MS);
+    await clock.advance(SAMPLE_INTERVAL_MS);
   }
   return clock.now() - startedAtMs;
 };
--- a/packages/amaranthknot/tests/gateway/placement-fixture.ts
+++ b/packages/amaranthknot/tests/gateway/placement-fixture.ts
@@ -10,7 +10,7 @@
   id: string,
   routeOverrides: Partial<routing.Route> = {},
 ): gateway.PlacementRequest => {
-  const table = get('state').inForce()?.table;
+  const table = get('state').activeTable()?.table;
   const route = table?.routes.find(({name}) => name === 'read');
   const service = table?.services.get('svc');
   if (!route || !service) {
--- a/packages/amaranthknot/tests/gateway/store-watching.test.ts
+++ b/packages/amaranthknot/tests/gateway/watch-role.test.ts
@@ -3,7 +3,7 @@
 import type * as ports from '@amaranthknot/ports';
 import * as fixture from './gateway-fixture.js';
 import * as gatewayState from '../../src/gateway/gateway-state.js';
-import * as storeWatching from '../../src/gateway/store-watching.js';
+import * as watchRole from '../../src/gateway/watch-role.js';
 
 const FAILED: ports.StoreError = {code: 'unknown', message: 'no answer'};
 
@@ -11,8 +11,8 @@
 
 interface Setup {
   readonly members: fleet.MemberTable;
-  readonly watching: storeWatching.StoreWatching;
-  readonly views: gatewayState.Views;
+  readonly watching: watchRole.WatchRole;
+  readonly views: gatewayState.ViewsByKind;
   readonly wait: (ms: number) => void;
   readonly watchers: () => readonly string[];
 }
@@ -22,7 +22,7 @@
   let nowMs = 0;
   const members = new fleet.MemberTable(fixture.createMember('a', 'a'));
   const views = fixture.createViews();
-  const watching = new storeWatching.StoreWatching({
+  const watching = new watchRole.WatchRole({
     now: () => nowMs,
     members,
     views,
@@ -79,12 +79,12 @@
 
   it('change once calls have failed for a while, and back at an answer', () => {
     const {members, watching, wait} = setUp();
-    watching.noteStoreCall(FAILED);
+    watching.recordStoreCall(FAILED);
     chai.expect(members.self.store).equal('reached');
     wait(1_000);
-    watching.noteStoreCall(FAILED);
+    watching.recordStoreCall(FAILED);
     chai.expect(members.self.store).equal('lost');
-    watching.noteStoreCall(undefined);
+    watching.recordStoreCall(undefined);
     chai.expect(members.self.store).equal('reached');
   });
 
@@ -93,14 +93,14 @@
     // learn that the store answers it again.
     const {watching, views, wait} = setUp();
     views.configuration.replaceAll({objects: [], version: 1}, 3_000);
-    watching.noteStoreCall(FAILED);
+    watching.recordStoreCall(FAILED);
     wait(1_000);
-    watching.noteStoreCall(FAILED);
+    watching.recordStoreCall(FAILED);
     wait(300);
-    chai.expect(watching.findNeed(views.configuration)).not.equal('ask');
+    chai.expect(watching.getSyncMode(views.configuration)).not.equal('ask');
     wait(5_000);
     views.configuration.replaceAll({objects: [], version: 2}, 8_300);
-    chai.expect(watching.findNeed(views.configuration)).equal('ask');
+    chai.expect(watching.getSyncMode(views.configuration)).equal('ask');
   });
 
   for (const leavingMs of [2_000, 4_000, 17_000]) {
@@ -113,7 +113,7 @@
       });
       views.upstreams.replaceAll({objects: [], version: 1}, 2_000);
       wait(0.8 * fleet.MAX_ANSWER_GAP_MS);
-      chai.expect(watching.findNeed(views.upstreams)).not.equal('none');
+      chai.expect(watching.getSyncMode(views.upstreams)).not.equal('none');
     });
   }
 
@@ -122,14 +122,14 @@
     // that had lost the store, for one call that had failed long before.
     const {members, watching, views, wait} = setUp();
     views.upstreams.replaceAll({objects: [], version: 1}, 2_000);
-    watching.noteStoreCall(FAILED);
+    watching.recordStoreCall(FAILED);
     wait(3_000);
     IDS.slice(1).forEach(id => {
       members.recordKeeper(fixture.createMember(id, id), 5_000);
     });
     members.applyWatcherList('b.1', '1', undefined, 5_000);
-    chai.expect(watching.findNeed(views.upstreams)).equal('ask');
-    watching.noteStoreCall(FAILED);
-    chai.expect(watching.findNeed(views.upstreams)).equal('none');
+    chai.expect(watching.getSyncMode(views.upstreams)).equal('ask');
+    watching.recordStoreCall(FAILED);
+    chai.expect(watching.getSyncMode(views.upstreams)).equal('none');
   });
 });
--- a/packages/amaranthknot/tests/bounds.test.ts
+++ b/packages/amaranthknot/tests/memory-bounds.test.ts
@@ -1,5 +1,5 @@
 import * as chai from 'chai';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 import * as rawCaller from './support/raw-caller.js';
 
@@ -23,7 +23,7 @@
 };
 
 describe('bounds of memory', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   let address: string;
 
   beforeEach(async () => {
@@ -39,9 +39,9 @@
   // they send is kept while it waits, and the instance grows until it dies.
   // Past its settings it must refuse at once, with not_run and a time.
   it('holds no more than its settings before stuck upstreams', async () => {
-    const engines = [...deployment.standIns.engines.values()];
+    const engines = [...deployment.fakes.engines.values()];
     engines.forEach(engine => (engine.fault = 'silent'));
-    const admission = deployment.instances[0]!.parts('admission');
+    const admission = deployment.instances[0]!.resolve('admission');
     const leave = new AbortController();
     const refused: fixtures.RawAnswer[] = [];
     let asked = 0;
@@ -82,15 +82,15 @@
   // peers hold the bills; but an outage that lasts would fill the memory, and
   // past the bound a request must be refused before it runs.
   it('keeps no more bills than its settings in an outage', async () => {
-    const bills = deployment.instances[0]!.parts('bills');
-    deployment.standIns.platform.mode = 'down';
+    const bills = deployment.instances[0]!.resolve('bills');
+    deployment.fakes.platform.mode = 'down';
     for (let i = 0; i < MAX_PENDING_BILLS; i++) {
       const answer = await fixtures.chat(address, `question ${i}`);
       chai.assert.strictEqual(answer.status, 200);
     }
     chai.assert.lengthOf(bills.pending(), MAX_PENDING_BILLS);
     const started = () =>
-      [...deployment.standIns.engines.values()].reduce(
+      [...deployment.fakes.engines.values()].reduce(
         (sum, engine) => sum + engine.started.length,
         0,
       );
@@ -103,7 +103,7 @@
     }
     chai.assert.strictEqual(started(), before);
     chai.assert.lengthOf(bills.pending(), MAX_PENDING_BILLS);
-    deployment.standIns.platform.mode = 'up';
+    deployment.fakes.platform.mode = 'up';
     chai.assert.isTrue(await bills.flush());
     const after = await fixtures.chat(address, 'and on');
     chai.assert.strictEqual(after.status, 200);
--- a/packages/amaranthknot/tests/openai-client.test.ts
+++ b/packages/amaranthknot/tests/openai-client.test.ts
@@ -1,10 +1,10 @@
 import * as chai from 'chai';
 import * as openai from 'openai';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 
 describe('the published OpenAI client', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   before(async () => {
     deployment = await fixtures.startDeployment({tokenMs: 5});
   });
@@ -67,7 +67,7 @@
       break;
     }
     stream.controller.abort();
-    const engines = [...deployment.standIns.engines.values()];
+    const engines = [...deployment.fakes.engines.values()];
     const isCancelled = () => engines.some(one => one.cancelled.length > 0);
     for (let i = 0; i < 200 && !isCancelled(); i++) {
       await new Promise(resolve => setTimeout(resolve, 10));
@@ -104,7 +104,7 @@
   }
 
   it('retries a refusal by itself', async () => {
-    const engines = [...deployment.standIns.engines.values()];
+    const engines = [...deployment.fakes.engines.values()];
     for (const engine of engines) {
       engine.fault = 'refuse';
       engine.faultsLeft = Number.POSITIVE_INFINITY;
--- a/packages/amaranthknot/tests/operator-commands.test.ts
+++ b/packages/amaranthknot/tests/operator-commands.test.ts
@@ -3,7 +3,7 @@
 import * as configuration from '@amaranthknot/configuration';
 import * as membership from '@amaranthknot/membership';
 import type * as command from '../src/command.js';
-import * as operations from '../src/operator/operations.js';
+import * as operatorConnection from '../src/operator/operator-connection.js';
 import * as fixture from './operator-fixture.js';
 
 const S = '--settings s.toml';
@@ -365,7 +365,9 @@
   };
 
   it('reads the settings and the key that it needs', () => {
-    const opened = operations.connect('good.toml', readFile).unsafeCoerce();
+    const opened = operatorConnection
+      .connect('good.toml', readFile)
+      .unsafeCoerce();
     chai.expect(opened.environment).equal('trial');
     opened.close();
   });
@@ -373,7 +375,7 @@
   it('says which file is missing', () => {
     const withoutKey = (path: string): string =>
       path === 'inner.key' ? readFile('nowhere') : readFile(path);
-    const failed = operations.connect('good.toml', withoutKey).swap();
+    const failed = operatorConnection.connect('good.toml', withoutKey).swap();
     chai.expect(failed.unsafeCoerce()).eql({
       code: 'unreadable_file',
       lines: ['inner.key: no such file'],
@@ -381,7 +383,7 @@
   });
 
   it('says what is wrong with the settings', () => {
-    const failed = operations
+    const failed = operatorConnection
       .connect('bad.toml', () => '[instanc]\n')
       .swap()
       .unsafeCoerce();
--- a/packages/amaranthknot/tests/operator-fixture.ts
+++ b/packages/amaranthknot/tests/operator-fixture.ts
@@ -6,7 +6,7 @@
 import * as purify from 'purify-ts';
 import type * as command from '../src/command.js';
 import * as operatorCommands from '../src/commands/operator-commands.js';
-import type * as operations from '../src/operator/operations.js';
+import type * as operatorConnection from '../src/operator/operator-connection.js';
 
 /** What a command printed, and its exit code. */
 export interface Run {
@@ -71,7 +71,7 @@
   };
 
 /** A clock whose sleepers wake at once, so that waits end. */
-const createHastyClock = (): ports.Clock => {
+const createInstantClock = (): ports.Clock => {
   let time = 0;
   return {
     now: () => time,
@@ -103,7 +103,7 @@
 
 /** Creates an environment with nothing in force. */
 export const createEnvironment = (): Environment => {
-  const clock = createHastyClock();
+  const clock = createInstantClock();
   const store = new fakes.MemoryObjectStore({clock});
   const names = ['rostering.toml', 'meetups.toml'];
   const files = new Map(names.map(name => [name, readExample(name)]));
@@ -116,7 +116,7 @@
     beforeGet: () => Promise.resolve(),
     run: line => runLine(line),
   };
-  const connect: operations.Connect = () =>
+  const connect: operatorConnection.Connect = () =>
     purify.Right({
       environment: 'trial',
       store: hookReads(store, kind => environment.beforeGet(kind)),
--- a/packages/amaranthknot/tests/processes.test.ts
+++ b/packages/amaranthknot/tests/processes.test.ts
@@ -15,7 +15,7 @@
     deployment.instances[index]!.address;
 
   const readBills = async (): Promise<ledger.BillSummary> =>
-    (await ledger.readBills(deployment.standIns.platform.store)).unsafeCoerce();
+    (await ledger.readBills(deployment.fakes.platform.store)).unsafeCoerce();
 
   // An instance answers and is killed before it has written its bills. The
   // caller has its answer, so its bill must be written by the peers that hold
@@ -42,7 +42,7 @@
   it('says that it is ready only once it knows its upstreams', async () => {
     // Guards against refusals by an instance that has just said it is ready.
     const [instance] = deployment.instances;
-    const {platform} = deployment.standIns;
+    const {platform} = deployment.fakes;
     platform.isListDown = true;
     instance!.signal('SIGKILL');
     await instance!.waitForExit();
@@ -61,7 +61,7 @@
   // killed. A retry elsewhere can not know whether it ran: it says `unknown`,
   // and never sends it a second time.
   it('never runs a booking of a killed instance again', async () => {
-    const services = [...deployment.standIns.services.values()];
+    const services = [...deployment.fakes.services.values()];
     for (const service of services) {
       service.fault = 'silent';
     }
@@ -117,7 +117,7 @@
     const paused = deployment.instances[1]!;
     paused.signal('SIGSTOP');
     const document = fixtures.createDocument({zoneStates: {'zone-b': 'out'}});
-    const {store} = deployment.standIns.platform;
+    const {store} = deployment.fakes.platform;
     const published = await membership.publishDocument(store, 'test', document);
     const {generation} = published.unsafeCoerce();
     await processes.waitUntil('the others have it in force', async () => {
@@ -127,7 +127,7 @@
       return states.every(state => state['generation'] === generation);
     });
     await new Promise(resolve => setTimeout(resolve, 6_000));
-    const engine = deployment.standIns.engines.get('engine-2')!;
+    const engine = deployment.fakes.engines.get('engine-2')!;
     const before = engine.started.length;
     const asked = [1, 2, 3, 4].map(index =>
       fixtures.chat(paused.address, `question ${index}`),
--- a/packages/amaranthknot/tests/rollouts.test.ts
+++ b/packages/amaranthknot/tests/rollouts.test.ts
@@ -1,5 +1,5 @@
 import * as chai from 'chai';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 import * as processes from './support/processes.js';
 
@@ -9,7 +9,7 @@
 const BATCH = 30;
 
 describe('a roll-out over three instances', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   beforeEach(async () => {
     const document = fixtures.createDocument({rolloutSteps: STEPS});
     deployment = await fixtures.startDeployment({document});
@@ -17,7 +17,7 @@
   afterEach(() => deployment.stop());
 
   const rateVersion = (version: string, rating: number) => {
-    deployment.standIns.platform.rate = ({model}) =>
+    deployment.fakes.platform.rate = ({model}) =>
       model === `small@${version}` ? rating : 1;
   };
 
@@ -46,7 +46,7 @@
   };
 
   const smallInForce = (index: number) =>
-    deployment.instances[index]!.parts('follower')
+    deployment.instances[index]!.resolve('follower')
       .activeConfiguration()!
       .document.models.find(model => model.name === 'small')!;
 
@@ -60,7 +60,7 @@
   const hasEvent = (name: string) =>
     deployment.instances.some(instance =>
       instance
-        .parts('events')
+        .resolve('events')
         .read()
         .some(event => event.name === name),
     );
@@ -81,11 +81,11 @@
   // duty and goes on from the written state, with a higher fencing number.
   it('is resumed by another instance when its driver leaves', async () => {
     const isDriver = (index: number) =>
-      deployment.instances[index]!.parts('duties').heldTasks().length > 0;
+      deployment.instances[index]!.resolve('duties').heldTasks().length > 0;
     await sendUntil(deployment.addresses, () => hasEvent('rollout_step'));
     const driver = [0, 1, 2].find(isDriver)!;
     const readStored = async () => {
-      const {store} = deployment.standIns.platform;
+      const {store} = deployment.fakes.platform;
       const listing = (await store.list('rollout_state')).unsafeCoerce();
       return listing.objects[0]!.value as {
         fencing: number;
--- a/packages/amaranthknot/tests/support/fixtures.ts
+++ b/packages/amaranthknot/tests/support/fixtures.ts
@@ -2,7 +2,7 @@
 import * as crypto from 'node:crypto';
 import * as configuration from '@amaranthknot/configuration';
 import type * as ports from '@amaranthknot/ports';
-import * as embedded from '../../src/embedded-deployment.js';
+import * as embeddedDeployment from '../../src/embedded-deployment.js';
 
 export const ZONES = ['zone-a', 'zone-b', 'zone-c'];
 
@@ -115,9 +115,9 @@
 
 /** Starts the test deployment with three entry instances. */
 export const startDeployment = (
-  overrides: Partial<embedded.EmbeddedOptions> = {},
-): Promise<embedded.EmbeddedDeployment> =>
-  embedded.startEmbedded({
+  overrides: Partial<embeddedDeployment.EmbeddedOptions> = {},
+): Promise<embeddedDeployment.EmbeddedDeployment> =>
+  embeddedDeployment.startEmbedded({
     environment: 'test',
     document: createDocument(),
     upstreams: createUpstreams(),
--- a/packages/amaranthknot/tests/support/processes.ts
+++ b/packages/amaranthknot/tests/support/processes.ts
@@ -5,16 +5,16 @@
 import * as os from 'node:os';
 import * as path from 'node:path';
 import * as url from 'node:url';
-import * as standIns from '@amaranthknot/fakes';
+import * as fakes from '@amaranthknot/fakes';
 import * as membership from '@amaranthknot/membership';
 import * as ports from '@amaranthknot/ports';
-import * as embedded from '../../src/embedded-deployment.js';
+import * as embeddedDeployment from '../../src/embedded-deployment.js';
 import * as fixtures from './fixtures.js';
 
 const MAIN = url.fileURLToPath(new URL('../../src/main.ts', import.meta.url));
 
 /** Longest wait for a condition, in milliseconds; then the test fails. */
-const PATIENCE_MS = 40_000;
+const CONDITION_TIMEOUT_MS = 40_000;
 
 /** Operators' key of test deployments. */
 export const OPERATOR_KEY = 'test-operator-key-0123456789abcdef';
@@ -24,7 +24,7 @@
   what: string,
   holds: () => boolean | Promise<boolean>,
 ): Promise<void> => {
-  const end = Date.now() + PATIENCE_MS;
+  const end = Date.now() + CONDITION_TIMEOUT_MS;
   while (!(await holds())) {
     if (Date.now() > end) {
       throw new Error(`waited in vain for: ${what}`);
@@ -122,7 +122,7 @@
 
 /** Stand-ins in the test and entry instances as processes. */
 export interface ProcessDeployment {
-  readonly standIns: standIns.StandIns;
+  readonly fakes: fakes.StandIns;
   readonly instances: readonly InstanceProcess[];
   stop(): Promise<void>;
 }
@@ -131,7 +131,7 @@
 export const startProcesses = async (
   options: {readonly tokenMs?: number} = {},
 ): Promise<ProcessDeployment> => {
-  const running = await standIns.startStandIns({
+  const running = await fakes.startStandIns({
     clock: ports.systemClock,
     instances: fixtures.createUpstreams(),
     freePorts: true,
@@ -147,7 +147,7 @@
   const instances: InstanceProcess[] = [];
   for (const [i, zone] of fixtures.ZONES.entries()) {
     const id = `entry-${i + 1}`;
-    const address = `127.0.0.1:${await embedded.findFreePort()}`;
+    const address = `127.0.0.1:${await embeddedDeployment.findFreePort()}`;
     const file = path.join(folder, `${id}.toml`);
     fs.writeFileSync(file, createSettingsText(id, zone, address, platformUrl));
     running.platform.register({
@@ -162,7 +162,7 @@
   }
   await Promise.all(instances.map(instance => instance.start()));
   return {
-    standIns: running,
+    fakes: running,
     instances,
     stop: async () => {
       for (const instance of instances) {
--- a/packages/amaranthknot/tests/timeline.test.ts
+++ b/packages/amaranthknot/tests/timeline.test.ts
@@ -4,11 +4,11 @@
 import * as chai from 'chai';
 import * as purify from 'purify-ts';
 import * as timeline from '../src/commands/timeline.js';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 
 describe('the timeline command', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   before(async () => {
     deployment = await fixtures.startDeployment();
   });
@@ -16,7 +16,7 @@
 
   const run = async (args: readonly string[]) => {
     const [first] = deployment.instances;
-    const parts = first!.parts;
+    const parts = first!.resolve;
     const command = timeline.createTimeline(() =>
       purify.Right({
         environment: 'test',
@@ -69,7 +69,7 @@
   // One instance is gone. What the others hold is still shown, and the command
   // says which one is missing.
   it('names instances that do not answer', async () => {
-    deployment.standIns.platform.register({
+    deployment.fakes.platform.register({
       id: 'entry-9',
       role: 'entry',
       state: 'live',
--- a/packages/amaranthknot/tests/versions-and-zones.test.ts
+++ b/packages/amaranthknot/tests/versions-and-zones.test.ts
@@ -1,7 +1,7 @@
 import * as chai from 'chai';
 import * as configuration from '@amaranthknot/configuration';
 import * as membership from '@amaranthknot/membership';
-import type * as embedded from '../src/embedded-deployment.js';
+import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 
 type Change = (document: configuration.Document) => configuration.Document;
@@ -39,7 +39,7 @@
   });
 
 describe('versions, sessions and zones over three instances', () => {
-  let deployment: embedded.EmbeddedDeployment;
+  let deployment: embeddedDeployment.EmbeddedDeployment;
   let document: configuration.Document;
   beforeEach(async () => {
     document = fixtures.createDocument();
@@ -50,12 +50,12 @@
   /** Publishes a change; resolves when it is in force on every instance. */
   const apply = async (change: Change): Promise<void> => {
     document = change(document);
-    const {store} = deployment.standIns.platform;
+    const {store} = deployment.fakes.platform;
     const published = await membership.publishDocument(store, 'test', document);
     const {generation} = published.unsafeCoerce();
     const isInForce = () =>
       deployment.instances.every(
-        one => one.parts('follower').activeGeneration() >= generation,
+        one => one.resolve('follower').activeGeneration() >= generation,
       );
     while (!isInForce()) {
       await new Promise(resolve => setTimeout(resolve, 10));
@@ -120,7 +120,7 @@
   // inside; callers are no longer sent to it.
   it('starts no work in a zone that is out', async () => {
     await apply(setZone('zone-a', 'out'));
-    const [inside] = [...deployment.standIns.engines.values()];
+    const [inside] = [...deployment.fakes.engines.values()];
     const before = inside!.started.length;
     for (let i = 0; i < 12; i++) {
       await ask(i % 3, {});
@@ -141,7 +141,7 @@
   // that all its work would go there at once, to an engine with cold caches.
   it('brings work back to a returning zone little by little', async () => {
     const requests = 30;
-    const [inside] = [...deployment.standIns.engines.values()];
+    const [inside] = [...deployment.fakes.engines.values()];
     await apply(setZone('zone-a', 'out'));
     await new Promise(resolve => setTimeout(resolve, 200));
     await apply(setZone('zone-a', 'in'));
@@ -159,9 +159,9 @@
   // The platform lists an engine as leaving; its process goes on for a while.
   // Once an instance has read the list, it may start no new work there.
   it('starts no work on a leaving upstream', async () => {
-    const {platform, engines} = deployment.standIns;
+    const {platform, engines} = deployment.fakes;
     const engine = engines.get('engine-1')!;
-    const listed = deployment.instances[0]!.parts('directory')
+    const listed = deployment.instances[0]!.resolve('directory')
       .all()
       .find(one => one.id === 'engine-1')!;
     engine.fault = 'none';
@@ -169,7 +169,7 @@
     const isSeen = () =>
       deployment.instances.every(instance =>
         instance
-          .parts('directory')
+          .resolve('directory')
           .all()
           .some(one => one.id === 'engine-1' && one.state === 'leaving'),
       );
@@ -259,11 +259,11 @@
     await new Promise(resolve => setTimeout(resolve, 200));
     const waiting = ask('hello');
     await new Promise(resolve => setTimeout(resolve, 200));
-    const {store} = deployment.standIns.platform;
+    const {store} = deployment.fakes.platform;
     const document = withdraw('v1', 'v2')(fixtures.createDocument());
     const published = await membership.publishDocument(store, 'test', document);
     const {generation} = published.unsafeCoerce();
-    const follower = deployment.instances[0]!.parts('follower');
+    const follower = deployment.instances[0]!.resolve('follower');
     while (follower.activeGeneration() < generation) {
       await new Promise(resolve => setTimeout(resolve, 10));
     }
@@ -285,7 +285,7 @@
     await new Promise(resolve => setTimeout(resolve, 200));
     const waiting = fixtures.book(address!, 'key-1');
     await new Promise(resolve => setTimeout(resolve, 200));
-    const {store} = deployment.standIns.platform;
+    const {store} = deployment.fakes.platform;
     const before = fixtures.createDocument();
     const document = {
       ...before,
@@ -296,13 +296,13 @@
     };
     const published = await membership.publishDocument(store, 'test', document);
     const {generation} = published.unsafeCoerce();
-    const follower = deployment.instances[0]!.parts('follower');
+    const follower = deployment.instances[0]!.resolve('follower');
     while (follower.activeGeneration() < generation) {
       await new Promise(resolve => setTimeout(resolve, 10));
     }
     chai.expect((await long).status).equal(200);
     chai.expect((await waiting).json.error.ran).equal('not_run');
-    const services = [...deployment.standIns.services.values()];
+    const services = [...deployment.fakes.services.values()];
     chai.expect(services.flatMap(service => service.runs)).eql([]);
     await deployment.stop();
   });
--- a/packages/bench/src/overhead/setup.ts
+++ b/packages/bench/src/overhead/setup.ts
@@ -90,7 +90,7 @@
     zones: ZONES,
     tokenMs,
   });
-  const engine = deployment.standIns.engines.get(ENGINE.id);
+  const engine = deployment.fakes.engines.get(ENGINE.id);
   const direct = new caller.Caller({
     address: engine?.address ?? '',
     headers: {},
--- a/packages/experiment/src/play-day.ts
+++ b/packages/experiment/src/play-day.ts
@@ -120,7 +120,7 @@
   model: string,
   isRepeat: boolean,
 ): gateway.PlacementRequest | undefined => {
-  const table = get('state').inForce()?.table;
+  const table = get('state').activeTable()?.table;
   const route = table?.routes.find(({name}) => name === drawn.class.name);
   const service = table?.services.get(manifests.SERVICE);
   if (!route || !service) {
--- a/packages/experiment/src/policy.ts
+++ b/packages/experiment/src/policy.ts
@@ -26,7 +26,7 @@
 type Pick = decisions.UpstreamPicker['pick'];
 
 const createPicker = (
-  get: amaranthknot.ResolveGateway,
+  get: amaranthknot.GatewayResolver,
   choosePick: (picker: decisions.UpstreamPicker) => Pick,
 ): decisions.UpstreamPicker => {
   const {clock, random, settings} = get('options');
@@ -53,7 +53,7 @@
     )[0];
 
 const createJudge = (
-  get: amaranthknot.ResolveGateway,
+  get: amaranthknot.GatewayResolver,
   runs: boolean,
 ): gateway.EscalationPolicy => {
   const {clock} = get('options');
@@ -76,7 +76,7 @@
 /** Parts that an instance has under a policy in place of its own. */
 export const findOverrides = (
   policy: PolicyName,
-): amaranthknot.PartOverrides => {
+): amaranthknot.ComponentOverrides => {
   switch (policy) {
     case 'full':
       return {};
--- a/packages/experiment/src/virtual-fleet.ts
+++ b/packages/experiment/src/virtual-fleet.ts
@@ -29,7 +29,7 @@
 export interface VirtualInstance {
   readonly id: string;
   readonly zone: string;
-  readonly get: amaranthknot.ResolveGateway;
+  readonly get: amaranthknot.GatewayResolver;
 }
 
 /** A running fleet. */
@@ -63,7 +63,7 @@
   /** The operators' configuration, as the store holds it. */
   readonly manifest: unknown;
   /** Parts that each instance has in place of its own. */
-  readonly overrides?: amaranthknot.PartOverrides;
+  readonly overrides?: amaranthknot.ComponentOverrides;
 }
 
 const hostOf = (index: number): string =>
@@ -161,11 +161,11 @@
     const {id, zone} = settings.instance;
     running.set(host, {id, zone, get, ending});
     const loops = new amaranthknot.InstanceLoops(get, {
-      isReady: () => get('state').isKnowing(),
+      isReady: () => get('state').isSynced(),
       reload: () => undefined,
     });
     void loops.followStore(ending.signal);
-    loops.talkToPeers(ending.signal);
+    loops.exchangeWithPeers(ending.signal);
     void loops.tick(ending.signal);
   };
   const indexes = Array.from({length: options.instances}, (_, index) => index);
