--- a/packages/amaranthknot/src/bill-copy-wiring.ts
+++ b/packages/amaranthknot/src/bill-copy-wiring.ts
@@ -90,8 +90,8 @@
 /** Creates the copies of this instance's bills on peers. */
 export const createPeerCopies = (
   get: instanceComponents.InstanceResolver,
-): ledger.PeerCopies =>
-  new ledger.PeerCopies({
+): ledger.BillReplicator =>
+  new ledger.BillReplicator({
     quorum: BILL_COPY_QUORUM,
     candidates: () => listCandidates(get),
     send: (candidate, batch) => sendCopies(get, candidate, batch),
@@ -105,7 +105,7 @@
 ): protocol.Result<'copy_bills'> => {
   const bills = params.bills as readonly ledger.PendingBill[];
   const {owner: incarnation, writtenLanes} = params;
-  const held = get('copyHolder').hold({incarnation, bills, writtenLanes});
+  const held = get('copyHolder').store({incarnation, bills, writtenLanes});
   return {accepted: held ? bills.length : 0};
 };
 
@@ -126,7 +126,7 @@
 export const maintainCopies = async (
   get: instanceComponents.InstanceResolver,
 ): Promise<void> => {
-  await get('peerCopies').changeMembership(get('incarnation'));
+  await get('peerCopies').refreshReplicas(get('incarnation'));
   const recovered = await get('copyHolder').recoverDead(
     incarnation => isDead(get, incarnation),
     (incarnation, pending) => get('bills').recover(incarnation, pending),
--- a/packages/amaranthknot/src/entry-instance.ts
+++ b/packages/amaranthknot/src/entry-instance.ts
@@ -67,13 +67,15 @@
       this.repeat(loadPoller.REPORT_INTERVAL_MS, () =>
         loadPoller.pollLoad(get('directory'), get('warmUp'), reports),
       ),
-      this.repeat(entry.ASK_INTERVAL_MS, () => get('warmUp').askForGrants()),
+      this.repeat(entry.GRANT_REQUEST_INTERVAL_MS, () =>
+        get('warmUp').requestGrants(),
+      ),
       this.repeat(COPIES_INTERVAL_MS, () => billCopyWiring.maintainCopies(get)),
       this.repeat(entry.SHARES_INTERVAL_MS, () =>
         rolloutWiring.updateRolloutTasks(get, this.rollouts),
       ),
       this.repeat(RATING_INTERVAL_MS, () => this.exchangeRatings()),
-      this.repeat(SETTLE_INTERVAL_MS, () => get('claims').settleVoid()),
+      this.repeat(SETTLE_INTERVAL_MS, () => get('claims').deleteVoidClaims()),
     ]);
     get('logger').info('serving', {
       address: this.options.advertise,
--- a/packages/amaranthknot/src/instance-components.ts
+++ b/packages/amaranthknot/src/instance-components.ts
@@ -22,13 +22,13 @@
   readonly logger: telemetry.Logger;
   readonly placement: decisions.Placement;
   readonly directory: entry.UpstreamDirectory;
-  readonly warmUp: entry.WarmUpDesk;
+  readonly warmUp: entry.WarmUpLimiter;
   readonly zoneRamp: entry.ZoneRamp;
-  readonly admission: entry.AdmissionGate;
-  readonly claims: ledger.ClaimKeeper;
-  readonly bills: ledger.BillKeeper;
-  readonly peerCopies: ledger.PeerCopies;
-  readonly copyHolder: ledger.CopyHolder;
+  readonly admission: entry.AdmissionController;
+  readonly claims: ledger.ClaimLedger;
+  readonly bills: ledger.BillLedger;
+  readonly peerCopies: ledger.BillReplicator;
+  readonly copyHolder: ledger.CopyStore;
   readonly pins: entry.PinRegistry;
   readonly retries: decisions.RetryBudget;
   readonly cascades: decisions.CascadePolicy;
@@ -36,7 +36,7 @@
   readonly rolloutCounters: entry.RolloutCounters;
   readonly rolloutShares: entry.RolloutShares;
   /** Undefined where the settings name no rating service. */
-  readonly ratingDesk: entry.RatingDesk | undefined;
+  readonly ratingDesk: entry.RatingSampler | undefined;
   readonly peerServer: protocol.PeerServer;
   readonly server: entry.EntryServer;
 }
--- a/packages/amaranthknot/src/instance-state.ts
+++ b/packages/amaranthknot/src/instance-state.ts
@@ -14,10 +14,10 @@
 };
 
 /** Addresses for callers: none in a zone that is out, while others are left. */
-export const offerAddresses = (
+export const listAddresses = (
   get: instanceComponents.InstanceResolver,
   zone?: string,
-): readonly entry.OfferedAddress[] => {
+): readonly entry.EntryAddress[] => {
   const out = listExcludedZones(get);
   const peers = get('peers');
   const all = [peers.self(), ...peers.all()];
--- a/packages/amaranthknot/src/instance-wiring.ts
+++ b/packages/amaranthknot/src/instance-wiring.ts
@@ -80,8 +80,8 @@
 
 const createClaims = (
   get: instanceComponents.InstanceResolver,
-): ledger.ClaimKeeper =>
-  new ledger.ClaimKeeper({
+): ledger.ClaimLedger =>
+  new ledger.ClaimLedger({
     limits: {
       maxInProgress: get('options').settings.limits.maxPendingClaims,
     },
@@ -90,7 +90,7 @@
     random,
     newToken: () => crypto.randomUUID(),
     incarnation: get('incarnation'),
-    askOwner: async (incarnation, owner) => {
+    queryOwner: async (incarnation, owner) => {
       const peer = findOwner(get, incarnation);
       if (!peer) {
         return 'no_answer';
@@ -108,13 +108,13 @@
 
 const createBills = (
   get: instanceComponents.InstanceResolver,
-): ledger.BillKeeper =>
-  new ledger.BillKeeper({
+): ledger.BillLedger =>
+  new ledger.BillLedger({
     store: get('store'),
     clock: get('options').clock,
     random,
     incarnation: get('incarnation'),
-    copyToPeers: batch => get('peerCopies').copy(batch),
+    copyToPeers: batch => get('peerCopies').replicate(batch),
     limits: {
       maxPending: get('options').settings.limits.maxPendingBills,
       copyQuorum: billCopyWiring.BILL_COPY_QUORUM,
@@ -137,9 +137,9 @@
     sessionKey: crypto.createSecretKey(secrets.sessionKey, 'utf8'),
     operatorDigest: settings.keys.operatorDigest,
     innerKey: secrets.innerKey,
-    inForce: () =>
+    activeConfiguration: () =>
       follower.mayTakeWork() ? follower.activeConfiguration() : undefined,
-    offerAddresses: zone => instanceState.offerAddresses(get, zone),
+    listAddresses: zone => instanceState.listAddresses(get, zone),
     admission: get('admission'),
     cascades: get('cascades'),
     assignVersion: (model, sessionKey) =>
@@ -155,7 +155,7 @@
     placeService: target => get('directory').place({target}),
     openEngine: upstreams.createEngineClient(),
     callService: upstreams.createServiceClient(),
-    noteAttempt: model => get('retries').recordAttempt(model),
+    recordAttempt: model => get('retries').recordAttempt(model),
     mayRetry: model => get('retries').tryRetry(model),
     claims: get('claims'),
     bills: get('bills'),
@@ -165,9 +165,9 @@
     handlePeer: text => get('peerServer').handle(text),
     describeState: () => instanceState.describeState(get),
     offerForRating: given => rolloutWiring.offerForRating(get, given),
-    noteCold: upstream => get('warmUp').noteRefusal(upstream),
-    countVersion: (model, version, sign) =>
-      rolloutWiring.countVersion(get, model, version, sign),
+    recordColdRefusal: upstream => get('warmUp').recordRefusal(upstream),
+    recordObservation: (model, version, sign) =>
+      rolloutWiring.recordObservation(get, model, version, sign),
   });
 };
 
@@ -184,13 +184,13 @@
 
 const createRatingDesk = (
   get: instanceComponents.InstanceResolver,
-): entry.RatingDesk | undefined => {
+): entry.RatingSampler | undefined => {
   const {settings, secrets} = get('options');
   const {rating} = settings.platform;
   if (rating === undefined) {
     return undefined;
   }
-  return new entry.RatingDesk({
+  return new entry.RatingSampler({
     service: new ports.HttpRatingService(
       createHttpClient(rating, secrets.platformKey),
     ),
@@ -255,7 +255,7 @@
   warmUp: upstreamWiring.createWarmUp,
   zoneRamp: () => new entry.ZoneRamp(() => options.clock.now()),
   admission: () =>
-    new entry.AdmissionGate(
+    new entry.AdmissionController(
       new decisions.AdmissionQueue({
         capacity: options.settings.limits.maxInFlight,
         random,
@@ -265,7 +265,7 @@
   claims: createClaims,
   bills: createBills,
   peerCopies: billCopyWiring.createPeerCopies,
-  copyHolder: () => new ledger.CopyHolder({clock: options.clock}),
+  copyHolder: () => new ledger.CopyStore({clock: options.clock}),
   pins: get => new entry.PinRegistry(get('store')),
   // A few requests an hour must survive a failing upstream too: at a low rate
   // a tenth earns nothing, so a model starts with a full bucket. At 1,000
--- a/packages/amaranthknot/src/load-poller.ts
+++ b/packages/amaranthknot/src/load-poller.ts
@@ -30,7 +30,7 @@
   const isComplete =
     coldSlots !== undefined && warmMs !== undefined && ageMs !== undefined;
   return isComplete
-    ? {inFlight, slots, warmth: {coldSlots, warmMs, ageMs}}
+    ? {inFlight, slots, warmUp: {coldSlots, warmMs, ageMs}}
     : {inFlight, slots};
 };
 
@@ -57,7 +57,7 @@
 /** Asks every watched engine once. */
 export const pollLoad = async (
   directory: entry.UpstreamDirectory,
-  warmUp: entry.WarmUpDesk,
+  warmUp: entry.WarmUpLimiter,
   read: LoadReader,
 ): Promise<void> => {
   const watched = directory.watched();
--- a/packages/amaranthknot/src/peer-server.ts
+++ b/packages/amaranthknot/src/peer-server.ts
@@ -16,12 +16,12 @@
       ...get('rolloutCounters').read(rollout),
     }),
     fetch_bills: ({owner}) => ({
-      bills: [...get('copyHolder').pendingOf(owner)],
+      bills: [...get('copyHolder').listPending(owner)],
     }),
     describe_claim: ({incarnation, owner}) => ({
       state:
         incarnation === get('incarnation')
-          ? get('claims').describeOwner(owner)
+          ? get('claims').getOwnerStatus(owner)
           : 'no_answer',
     }),
     collect_events: ({afterSequence, limit}) => {
--- a/packages/amaranthknot/src/rollout-wiring.ts
+++ b/packages/amaranthknot/src/rollout-wiring.ts
@@ -26,11 +26,11 @@
   get('options').settings.instance.environment;
 
 /** Counts a sign of a version, if a roll-out is about it. */
-export const countVersion = (
+export const recordObservation = (
   get: instanceComponents.InstanceResolver,
   model: string,
   version: string,
-  sign: entry.VersionSign,
+  sign: entry.VersionObservation,
 ): void =>
   get('rolloutCounters').count(listRollouts(get), model, version, sign);
 
@@ -50,11 +50,11 @@
 /** Hands a rating to what learns from it. */
 export const applyRating = (
   get: instanceComponents.InstanceResolver,
-  answer: entry.RatedAnswer,
+  answer: entry.SampledAnswer,
   rating: number,
 ): void => {
   get('cascades').observeRating({...answer, rating});
-  countVersion(get, answer.model, answer.version, {
+  recordObservation(get, answer.model, answer.version, {
     rated: 1,
     bad: rating < GOOD_RATING ? 1 : 0,
   });
@@ -70,7 +70,7 @@
   if (!found || found.state !== 'running') {
     return RATING_SHARE;
   }
-  const share = get('rolloutShares').shareOf(environmentOf(get), found);
+  const share = get('rolloutShares').getShare(environmentOf(get), found);
   const shares = decisions.allocateRatings(share, RATING_SHARE);
   return version === found.to ? shares.new : shares.old;
 };
@@ -78,7 +78,7 @@
 /** Offers a given answer to the rating service. */
 export const offerForRating = (
   get: instanceComponents.InstanceResolver,
-  {call, answer, text}: entry.GivenAnswer,
+  {call, answer, text}: entry.DeliveredAnswer,
 ): void => {
   const {model, version} = answer;
   const messages = call.request.messages as readonly {content?: unknown}[];
@@ -169,7 +169,7 @@
 const formatTaskName = (
   environment: string,
   one: configuration.Rollout,
-): string => `rollout.${entry.nameState(environment, one)}`;
+): string => `rollout.${entry.nameRolloutState(environment, one)}`;
 
 /** Competes for the duties of running roll-outs, and reads their shares. */
 export const updateRolloutTasks = async (
--- a/packages/amaranthknot/src/upstream-wiring.ts
+++ b/packages/amaranthknot/src/upstream-wiring.ts
@@ -15,17 +15,17 @@
     placement: get('placement'),
     clock: get('options').clock,
     excludedZones: () => instanceState.listExcludedZones(get),
-    drawClosedZones: () => get('zoneRamp').listClosed(Math.random()),
+    sampleClosedZones: () => get('zoneRamp').listClosed(Math.random()),
     mayStart: id => get('warmUp').mayStart(id),
   });
 
 /** Creates the desk of warm-up grants. */
 export const createWarmUp = (
   get: instanceComponents.InstanceResolver,
-): entry.WarmUpDesk => {
+): entry.WarmUpLimiter => {
   const {clock, warmUpTiming} = get('options');
   const peers = get('peers');
-  return new entry.WarmUpDesk({
+  return new entry.WarmUpLimiter({
     self: peers.self().id,
     clock,
     instances: () => peers.candidates().map(peer => peer.id),
--- a/packages/bench/src/benches/copies.ts
+++ b/packages/bench/src/benches/copies.ts
@@ -61,7 +61,7 @@
 
   constructor(
     private readonly ranking: Ranking,
-    private readonly choose: ledger.ReplicaChoice,
+    private readonly choose: ledger.ReplicaSelector,
   ) {
     this.places = ranking.map((_, i) => ({
       zone: `zone-${i % ZONES}`,
@@ -146,7 +146,7 @@
 const runFleet = (
   ranking: Ranking,
   changes: readonly Change[],
-  choose: ledger.ReplicaChoice,
+  choose: ledger.ReplicaSelector,
 ): Fleet => {
   const fleet = new Fleet(ranking, choose);
   for (const {place, joins} of changes) {
@@ -219,8 +219,8 @@
   run: seed => {
     const changes = drawChanges(seededRandom.createRandom(seed));
     const ranking = rankAll();
-    const loose = runFleet(ranking, changes, ledger.chooseLoosely);
-    const tight = runFleet(ranking, changes, ledger.chooseTightly);
+    const loose = runFleet(ranking, changes, ledger.selectStickyReplicas);
+    const tight = runFleet(ranking, changes, ledger.selectRankedReplicas);
     return Promise.resolve(describe(loose, tight));
   },
 };
--- a/packages/bench/src/benches/ledger.ts
+++ b/packages/bench/src/benches/ledger.ts
@@ -56,7 +56,7 @@
 ];
 
 const runClaim = async (
-  keeper: ledger.ClaimKeeper,
+  keeper: ledger.ClaimLedger,
   key: string,
   isAbandoned: boolean,
 ): Promise<void> => {
@@ -79,7 +79,7 @@
   const clock = new fakes.VirtualClock();
   const store = new fakes.MemoryObjectStore({clock});
   let tokens = 0;
-  const keeper = new ledger.ClaimKeeper({
+  const keeper = new ledger.ClaimLedger({
     store,
     clock,
     random,
@@ -150,8 +150,8 @@
   },
   index: number,
   stops: AbortController[],
-): ledger.BillKeeper => {
-  const keeper = new ledger.BillKeeper({
+): ledger.BillLedger => {
+  const keeper = new ledger.BillLedger({
     ...world,
     incarnation: `instance-${index}`,
     copyToPeers: () => Promise.resolve(2),
@@ -165,7 +165,7 @@
 
 const recordBills = async (
   clock: fakes.VirtualClock,
-  keepers: readonly ledger.BillKeeper[],
+  keepers: readonly ledger.BillLedger[],
   ms: number,
 ): Promise<number> => {
   let recorded = 0;
--- a/packages/bench/src/benches/state.ts
+++ b/packages/bench/src/benches/state.ts
@@ -62,7 +62,7 @@
       random: () => 0.5,
     }),
     clock,
-    drawClosedZones: () => new Set(),
+    sampleClosedZones: () => new Set(),
     excludedZones: () => new Set(),
   });
   directory.applyList(
--- a/packages/bench/src/histories/simulated-instance.ts
+++ b/packages/bench/src/histories/simulated-instance.ts
@@ -17,7 +17,7 @@
     from: SimulatedInstance,
     incarnation: string,
     owner: string,
-  ): Promise<ledger.OwnerAnswer>;
+  ): Promise<ledger.OwnerStatus>;
 }
 
 /** What a simulated instance is made of. */
@@ -39,10 +39,10 @@
 /** An entry instance that can be killed or paused between any two steps. */
 export class SimulatedInstance {
   readonly lifeline: lifelines.Lifeline;
-  readonly claims: ledger.ClaimKeeper;
-  readonly bills: ledger.BillKeeper;
-  readonly holder: ledger.CopyHolder;
-  private readonly copies: ledger.PeerCopies;
+  readonly claims: ledger.ClaimLedger;
+  readonly bills: ledger.BillLedger;
+  readonly holder: ledger.CopyStore;
+  private readonly copies: ledger.BillReplicator;
   private readonly clock: ports.Clock;
   /** Attempts that this instance serves now. */
   inProgress = 0;
@@ -57,26 +57,26 @@
     this.clock = this.lifeline.guardClock();
     const store = this.lifeline.guardStore(options.store);
     const shared = {store, clock: this.clock, random, incarnation};
-    this.claims = new ledger.ClaimKeeper({
+    this.claims = new ledger.ClaimLedger({
       ...shared,
       newToken: () => `${incarnation}#${this.tokens++}`,
-      askOwner: (owner, token) =>
+      queryOwner: (owner, token) =>
         this.lifeline.guard(peers.askOwner(this, owner, token)),
     });
-    this.holder = new ledger.CopyHolder({clock: this.clock});
-    this.copies = new ledger.PeerCopies({
+    this.holder = new ledger.CopyStore({clock: this.clock});
+    this.copies = new ledger.BillReplicator({
       quorum: ledger.DEFAULT_BILL_LIMITS.copyQuorum,
       candidates: () => peers.candidates(this),
       send: (peer, batch) => this.lifeline.guard(peers.send(this, peer, batch)),
       pending: () => this.bills.pending(),
     });
-    this.bills = new ledger.BillKeeper({
+    this.bills = new ledger.BillLedger({
       ...shared,
       limits: {
         flushIntervalMs: options.flushIntervalMs,
         maxSegmentBills: MAX_SEGMENT_BILLS,
       },
-      copyToPeers: batch => this.copies.copy(batch),
+      copyToPeers: batch => this.copies.replicate(batch),
     });
   }
 
@@ -119,11 +119,11 @@
 
   private async runRound(): Promise<void> {
     const {peers} = this.options;
-    await this.copies.changeMembership(this.incarnation);
+    await this.copies.refreshReplicas(this.incarnation);
     await this.holder.recoverDead(
       incarnation => peers.isBelievedDead(incarnation),
       (incarnation, pending) => this.bills.recover(incarnation, pending),
     );
-    await this.claims.settleVoid();
+    await this.claims.deleteVoidClaims();
   }
 }
--- a/packages/bench/src/histories/simulated-network.ts
+++ b/packages/bench/src/histories/simulated-network.ts
@@ -44,19 +44,21 @@
     peer: string,
     batch: ledger.CopyBatch,
   ): Promise<boolean> {
-    return this.ask(from, peer, false, receiver => receiver.holder.hold(batch));
+    return this.ask(from, peer, false, receiver =>
+      receiver.holder.store(batch),
+    );
   }
 
   askOwner(
     from: simulatedInstance.SimulatedInstance,
     incarnation: string,
     owner: string,
-  ): Promise<ledger.OwnerAnswer> {
-    return this.ask<ledger.OwnerAnswer>(
+  ): Promise<ledger.OwnerStatus> {
+    return this.ask<ledger.OwnerStatus>(
       from,
       incarnation,
       'no_answer',
-      receiver => receiver.claims.describeOwner(owner),
+      receiver => receiver.claims.getOwnerStatus(owner),
     );
   }
 
--- a/packages/bench/src/models/virtual-deployment.ts
+++ b/packages/bench/src/models/virtual-deployment.ts
@@ -24,8 +24,8 @@
   readonly address: string;
   readonly follower: membership.ConfigurationFollower;
   readonly duties: membership.LeasedTaskRunner;
-  readonly claims: ledger.ClaimKeeper;
-  readonly bills: ledger.BillKeeper;
+  readonly claims: ledger.ClaimLedger;
+  readonly bills: ledger.BillLedger;
   readonly server: protocol.PeerServer;
 }
 
@@ -195,14 +195,14 @@
         peers,
         createToken,
       }),
-      claims: new ledger.ClaimKeeper({
+      claims: new ledger.ClaimLedger({
         store,
         clock,
         random,
         newToken: createToken,
         incarnation: `${id}.1`,
       }),
-      bills: new ledger.BillKeeper({
+      bills: new ledger.BillLedger({
         store,
         clock,
         random,
--- a/packages/entry/src/admission-gate.ts
+++ b/packages/entry/src/admission-controller.ts
@@ -10,7 +10,7 @@
 type Decision = purify.Either<apiError.ApiError, Release>;
 
 /** How often waiting requests are checked for expiry, in milliseconds. */
-const EXPIRY_CHECK_MS = 20;
+const EXPIRY_CHECK_INTERVAL_MS = 20;
 
 const CODE_BY_REASON: Record<
   decisions.AdmissionRefusalReason,
@@ -35,7 +35,7 @@
 });
 
 /** Admits callers one by one as the queue decides. */
-export class AdmissionGate {
+export class AdmissionController {
   private readonly waiting = new Map<string, (decision: Decision) => void>();
   private expiring = false;
 
@@ -86,7 +86,7 @@
       return;
     }
     this.waiting.delete(id);
-    this.wake(this.queue.cancel(id, this.clock.now()));
+    this.resolveAdmitted(this.queue.cancel(id, this.clock.now()));
     resolve(
       purify.Left({
         code: 'over_capacity',
@@ -103,11 +103,13 @@
         return;
       }
       released = true;
-      this.wake(this.queue.release(id, this.clock.now()));
+      this.resolveAdmitted(this.queue.release(id, this.clock.now()));
     };
   }
 
-  private wake(admitted: readonly decisions.AdmissionRequest[]): void {
+  private resolveAdmitted(
+    admitted: readonly decisions.AdmissionRequest[],
+  ): void {
     for (const {id} of admitted) {
       const resolve = this.waiting.get(id);
       this.waiting.delete(id);
@@ -122,7 +124,7 @@
     }
     this.expiring = true;
     while (this.waiting.size > 0) {
-      await this.clock.sleep(EXPIRY_CHECK_MS);
+      await this.clock.sleep(EXPIRY_CHECK_INTERVAL_MS);
       for (const refusal of this.queue.expire(this.clock.now())) {
         const resolve = this.waiting.get(refusal.request.id);
         this.waiting.delete(refusal.request.id);
--- a/packages/entry/src/api-error.ts
+++ b/packages/entry/src/api-error.ts
@@ -25,12 +25,12 @@
   | 'internal';
 
 /** Whether the request ran; `not_run` is said only when certain. */
-export type Ran = 'not_run' | 'unknown' | 'ran';
+export type ExecutionStatus = 'not_run' | 'unknown' | 'ran';
 
 /** A refusal or failure as the caller gets it. */
 export interface ApiError {
   readonly code: ApiErrorCode;
-  readonly ran: Ran;
+  readonly ran: ExecutionStatus;
   readonly message: string;
   /** When to come back, in milliseconds; absent when it is of no use. */
   readonly retryAfterMs?: number;
@@ -79,12 +79,14 @@
 });
 
 /** Value of `Retry-After`: whole seconds, at least one. */
-export const toRetryAfter = (retryAfterMs: number): string =>
+export const formatRetryAfter = (retryAfterMs: number): string =>
   String(Math.max(1, Math.ceil(retryAfterMs / 1000)));
 
 /**
  * Time to stay away, with jitter: callers refused in the same moment must not
  * all return in the same moment.
  */
-export const drawRetryAfter = (baseMs: number, random: () => number): number =>
-  baseMs * (0.5 + random());
+export const jitterRetryAfter = (
+  baseMs: number,
+  random: () => number,
+): number => baseMs * (0.5 + random());
--- a/packages/entry/src/chat-observer.ts
+++ b/packages/entry/src/chat-observer.ts
@@ -1,15 +1,17 @@
 /** Tells the time line, metrics, cascades and roll-outs what runs do. */
 import type * as upstreams from '@amaranthknot/upstreams';
 import type * as chatRunner from './chat-runner.js';
-import type * as entryParts from './entry-parts.js';
+import type * as entryDependencies from './entry-dependencies.js';
 
 /** Observes chat runs. */
 export class ChatObserver {
-  constructor(private readonly parts: entryParts.EntryParts) {}
+  constructor(
+    private readonly dependencies: entryDependencies.EntryDependencies,
+  ) {}
 
   /** Takes in what happens in a run. */
-  notify(notice: chatRunner.ChatNotice): void {
-    const {run} = notice;
+  notify(event: chatRunner.StageEvent): void {
+    const {run} = event;
     const {model, version} = run;
     const {requestId, workspace, request} = run.call;
     const subject = {
@@ -18,33 +20,33 @@
       model,
       version,
     };
-    const {events, metrics, cascades} = this.parts;
-    switch (notice.kind) {
+    const {events, metrics, cascades} = this.dependencies;
+    switch (event.kind) {
       case 'stage_started':
         events.record('stage_started', subject);
         break;
       case 'stage_answered': {
-        const name = notice.accepted ? 'stage_answered' : 'stage_escalated';
-        const detail = `confidence ${notice.confidence}`;
+        const name = event.accepted ? 'stage_answered' : 'stage_escalated';
+        const detail = `confidence ${event.confidence}`;
         events.record(name, {...subject, detail});
         metrics.stages.inc({model, version, outcome: name});
         cascades.observeAnswer({
           workspace: workspace.name,
           task: request.task,
           model,
-          escalated: notice.escalated,
-          score: notice.confidence,
+          escalated: event.escalated,
+          score: event.confidence,
         });
-        this.parts.countVersion(model, version, {requests: 1});
+        this.dependencies.recordObservation(model, version, {requests: 1});
         break;
       }
       case 'stage_failed':
         events.record('stage_escalated', {
           ...subject,
-          detail: notice.failure.code,
+          detail: event.failure.code,
         });
-        metrics.stages.inc({model, version, outcome: notice.failure.code});
-        this.countFailure(notice);
+        metrics.stages.inc({model, version, outcome: event.failure.code});
+        this.countFailure(event);
         break;
     }
   }
@@ -54,39 +56,39 @@
    * request: a full or lost upstream says nothing about a version.
    */
   private countFailure(
-    notice: Extract<chatRunner.ChatNotice, {readonly kind: 'stage_failed'}>,
+    event: Extract<chatRunner.StageEvent, {readonly kind: 'stage_failed'}>,
   ): void {
-    const {run, failure} = notice;
+    const {run, failure} = event;
     if (failure.code === 'aborted' || failure.ran === 'not_run') {
       return;
     }
-    const sign = {requests: 1, errors: 1};
-    this.parts.countVersion(run.model, run.version, sign);
+    const observation = {requests: 1, errors: 1};
+    this.dependencies.recordObservation(run.model, run.version, observation);
   }
 
   /** Takes in what happens in one attempt of a stage. */
   notifyAttempt(
     run: chatRunner.StageRun,
-    notice: upstreams.CompletionNotice,
+    event: upstreams.CompletionNotice,
   ): void {
-    const {upstream} = notice;
+    const {upstream} = event;
     const subject = {request: run.call.requestId, upstream};
-    switch (notice.kind) {
+    switch (event.kind) {
       case 'started':
         break;
       case 'discarded':
-        this.parts.events.record('answer_discarded', {
+        this.dependencies.events.record('answer_discarded', {
           ...subject,
-          detail: notice.reason,
+          detail: event.reason,
         });
         break;
       case 'attempt_failed':
-        this.parts.events.record('upstream_failed', {
+        this.dependencies.events.record('upstream_failed', {
           ...subject,
-          detail: `${notice.failure.code} at ${notice.offset}`,
+          detail: `${event.failure.code} at ${event.offset}`,
         });
-        if (notice.failure.code === 'cold') {
-          this.parts.noteCold(upstream);
+        if (event.failure.code === 'cold') {
+          this.dependencies.recordColdRefusal(upstream);
         }
         break;
     }
--- a/packages/entry/src/chat-routes.ts
+++ b/packages/entry/src/chat-routes.ts
@@ -7,7 +7,7 @@
 import * as chatObserver from './chat-observer.js';
 import * as chatRunner from './chat-runner.js';
 import * as chatSessions from './chat-sessions.js';
-import type * as entryParts from './entry-parts.js';
+import type * as entryDependencies from './entry-dependencies.js';
 import * as formatCompletion from './format-completion.js';
 import * as prepareChat from './prepare-chat.js';
 import * as requestContext from './request-context.js';
@@ -17,19 +17,21 @@
 const EXPECTED_TOKENS = 500;
 
 const toChunkIdentity = (
-  parts: entryParts.EntryParts,
+  dependencies: entryDependencies.EntryDependencies,
   requestId: string,
 ): formatCompletion.CompletionIdentity => ({
   requestId,
-  created: Math.floor(parts.clock.wallTime() / 1000),
+  created: Math.floor(dependencies.clock.wallTime() / 1000),
 });
 
 /** Answers chat completion requests. */
 export class ChatRoutes {
   private readonly observer: chatObserver.ChatObserver;
 
-  constructor(private readonly parts: entryParts.EntryParts) {
-    this.observer = new chatObserver.ChatObserver(parts);
+  constructor(
+    private readonly dependencies: entryDependencies.EntryDependencies,
+  ) {
+    this.observer = new chatObserver.ChatObserver(dependencies);
   }
 
   /** Handles one request. */
@@ -37,81 +39,89 @@
     request: hapi.Request,
     h: hapi.ResponseToolkit,
   ): Promise<hapi.ResponseObject> {
-    const prepared = await prepareChat.prepareChat(this.parts, request);
+    const prepared = await prepareChat.prepareChat(this.dependencies, request);
     if (prepared.isLeft()) {
       const error = prepared.extract();
-      return this.refuse(h, error, this.parts.newId());
+      return this.refuse(h, error, this.dependencies.newId());
     }
     const chat = prepared.unsafeCoerce();
-    const admitted = await requestContext.admit(this.parts, chat.context);
+    const admitted = await requestContext.admit(
+      this.dependencies,
+      chat.context,
+    );
     if (admitted.isLeft()) {
       const error = admitted.extract();
       return this.refuse(h, error, chat.call.requestId, chat.call);
     }
     const release = admitted.unsafeCoerce();
-    const items = this.run(chat, release);
+    const events = this.run(chat, release);
     return chat.call.request.stream
-      ? this.answerStreamed(h, chat, items)
-      : this.answerPlain(h, chat, items);
+      ? this.answerStreamed(h, chat, events)
+      : this.answerPlain(h, chat, events);
   }
 
   /** Runs an admitted request; the slot is given back at its end. */
   private async *run(
     chat: prepareChat.PreparedChat,
     release: () => void,
-  ): AsyncGenerator<chatRunner.ChatItem> {
-    const {parts} = this;
-    const started = parts.clock.now();
+  ): AsyncGenerator<chatRunner.ChatEvent> {
+    const {dependencies} = this;
+    const started = dependencies.clock.now();
     const {call, context} = chat;
-    parts.metrics.inFlight.inc();
+    dependencies.metrics.inFlight.inc();
     try {
-      const items = chatRunner.runChat(
-        this.createChatParts(chat),
+      const events = chatRunner.runChat(
+        this.createChatDependencies(chat),
         call,
         context.signal,
       );
       let text = '';
-      for await (const item of items) {
-        switch (item.kind) {
+      for await (const event of events) {
+        switch (event.kind) {
           case 'token':
-            text += item.text;
-            yield item;
+            text += event.text;
+            yield event;
             break;
           case 'answered':
             // Before the yield: a reader that has its answer reads no further.
-            parts.offerForRating({call, answer: item.answer, text});
-            yield await this.bill(chat, item.answer);
+            dependencies.offerForRating({call, answer: event.answer, text});
+            yield await this.recordBill(chat, event.answer);
             break;
           case 'failed':
-            yield item;
+            yield event;
             break;
         }
       }
     } finally {
       release();
-      parts.metrics.inFlight.dec();
-      const seconds = (parts.clock.now() - started) / 1000;
-      parts.metrics.latency.observe({workspace: call.workspace.name}, seconds);
+      dependencies.metrics.inFlight.dec();
+      const seconds = (dependencies.clock.now() - started) / 1000;
+      dependencies.metrics.latency.observe(
+        {workspace: call.workspace.name},
+        seconds,
+      );
       if (context.signal.aborted) {
-        parts.events.record('request_cancelled', {request: call.requestId});
+        dependencies.events.record('request_cancelled', {
+          request: call.requestId,
+        });
       }
     }
   }
 
-  private createChatParts(
+  private createChatDependencies(
     chat: prepareChat.PreparedChat,
-  ): chatRunner.ChatParts {
+  ): chatRunner.ChatDependencies {
     return {
       chooseStages: call => this.chooseStages(call),
       selectVersion: (call, stage) =>
         chatSessions.confirmVersion(
-          this.parts.inForce(),
+          this.dependencies.activeConfiguration(),
           call,
           stage.model.name,
           chat.versions.byModel.get(stage.model.name),
         ),
       runStage: (run, signal) => this.runStage(run, signal),
-      notify: notice => this.observer.notify(notice),
+      notify: event => this.observer.notify(event),
     };
   }
 
@@ -123,14 +133,14 @@
         Number.EPSILON,
       ),
     }));
-    const plan = this.parts.cascades.choose(
+    const plan = this.dependencies.cascades.choose(
       {
         workspace: call.workspace.name,
         task: call.request.task,
         stages,
         target: call.workspace.qualityTarget,
       },
-      this.parts.random,
+      this.dependencies.random,
     );
     return {
       startStage: plan.startStage,
@@ -143,15 +153,15 @@
     run: chatRunner.StageRun,
     signal: AbortSignal,
   ): AsyncGenerator<upstreams.CompletionEvent> {
-    const {parts} = this;
+    const {dependencies} = this;
     const {requestId, request, workspace} = run.call;
-    parts.noteAttempt(run.model);
+    dependencies.recordAttempt(run.model);
     return upstreams.runCompletion(
       {
-        open: parts.openEngine,
-        place: tried => parts.placeStage(run, tried),
-        mayRetry: () => parts.mayRetry(run.model),
-        notify: notice => this.observer.notifyAttempt(run, notice),
+        open: dependencies.openEngine,
+        place: tried => dependencies.placeStage(run, tried),
+        mayRetry: () => dependencies.mayRetry(run.model),
+        notify: event => this.observer.notifyAttempt(run, event),
       },
       {
         requestId,
@@ -170,24 +180,24 @@
    * Makes the bill safe before the answer's end. An instance that is killed
    * after the end would otherwise take an answered request's bill with it.
    */
-  private async bill(
+  private async recordBill(
     chat: prepareChat.PreparedChat,
     answer: chatRunner.ChatAnswer,
-  ): Promise<chatRunner.ChatItem> {
-    const {parts} = this;
+  ): Promise<chatRunner.ChatEvent> {
+    const {dependencies} = this;
     const {call, identity} = chat;
     const workspace = call.workspace.name;
-    const safe = await parts.bills.record({
+    const recorded = await dependencies.bills.record({
       identity: identity.name,
       workspace,
       model: answer.model,
       version: answer.version,
       cost: answer.cost,
       tokens: answer.tokens,
-      atWallMs: parts.clock.wallTime(),
+      atWallMs: dependencies.clock.wallTime(),
     });
     const {requestId} = call;
-    if (safe === 'at_risk') {
+    if (recorded === 'at_risk') {
       return {
         kind: 'failed',
         error: {
@@ -199,89 +209,94 @@
       };
     }
     const subject = {request: requestId, workspace};
-    parts.events.record('bill_recorded', {...subject, detail: safe});
+    dependencies.events.record('bill_recorded', {...subject, detail: recorded});
     const {model, version, upstream} = answer;
-    parts.events.record('answer_given', {...subject, model, version, upstream});
-    parts.metrics.requests.inc({workspace, outcome: 'answered'});
-    parts.metrics.cost.inc({workspace}, answer.cost);
+    dependencies.events.record('answer_given', {
+      ...subject,
+      model,
+      version,
+      upstream,
+    });
+    dependencies.metrics.requests.inc({workspace, outcome: 'answered'});
+    dependencies.metrics.cost.inc({workspace}, answer.cost);
     return {kind: 'answered', answer};
   }
 
   private async answerPlain(
     h: hapi.ResponseToolkit,
     chat: prepareChat.PreparedChat,
-    items: AsyncGenerator<chatRunner.ChatItem>,
+    events: AsyncGenerator<chatRunner.ChatEvent>,
   ): Promise<hapi.ResponseObject> {
     const {requestId} = chat.call;
     let text = '';
-    for await (const item of items) {
-      switch (item.kind) {
+    for await (const event of events) {
+      switch (event.kind) {
         case 'token':
-          text += item.text;
+          text += event.text;
           break;
         case 'failed':
-          return this.refuse(h, item.error, requestId, chat.call);
+          return this.refuse(h, event.error, requestId, chat.call);
         case 'answered': {
-          const identity = toChunkIdentity(this.parts, requestId);
+          const identity = toChunkIdentity(this.dependencies, requestId);
           const body = formatCompletion.formatCompletion(
             identity,
-            item.answer,
+            event.answer,
             text,
           );
           return this.addHeaders(h.response(body), chat);
         }
       }
     }
-    return this.refuse(h, this.createCancelled(), requestId, chat.call);
+    return this.refuse(h, this.createCancelledError(), requestId, chat.call);
   }
 
   /** Waits for the first item, so that a failure still has its status. */
   private async answerStreamed(
     h: hapi.ResponseToolkit,
     chat: prepareChat.PreparedChat,
-    items: AsyncGenerator<chatRunner.ChatItem>,
+    events: AsyncGenerator<chatRunner.ChatEvent>,
   ): Promise<hapi.ResponseObject> {
-    const first = await items.next();
+    const first = await events.next();
     const {requestId} = chat.call;
     if (first.done) {
-      return this.refuse(h, this.createCancelled(), requestId, chat.call);
+      return this.refuse(h, this.createCancelledError(), requestId, chat.call);
     }
     if (first.value.kind === 'failed') {
-      await items.return(undefined);
+      await events.return(undefined);
       return this.refuse(h, first.value.error, requestId, chat.call);
     }
-    const events = this.formatItems(chat, first.value, items);
-    const body = stream.Readable.from(events, {objectMode: false});
+    const chunks = this.formatEvents(chat, first.value, events);
+    const body = stream.Readable.from(chunks, {objectMode: false});
     return this.addHeaders(h.response(body), chat)
       .type('text/event-stream')
       .header('cache-control', 'no-cache');
   }
 
-  private async *formatItems(
+  private async *formatEvents(
     chat: prepareChat.PreparedChat,
-    first: chatRunner.ChatItem,
-    rest: AsyncGenerator<chatRunner.ChatItem>,
+    first: chatRunner.ChatEvent,
+    rest: AsyncGenerator<chatRunner.ChatEvent>,
   ): AsyncGenerator<string> {
-    const identity = toChunkIdentity(this.parts, chat.call.requestId);
+    const identity = toChunkIdentity(this.dependencies, chat.call.requestId);
     const {includeUsage} = chat.call.request;
     let isFirst = true;
     try {
-      for (let item = first; ;) {
-        switch (item.kind) {
+      for (let event = first; ;) {
+        switch (event.kind) {
           case 'token':
-            yield formatCompletion.formatToken(identity, item, isFirst);
+            yield formatCompletion.formatToken(identity, event, isFirst);
             isFirst = false;
             break;
           case 'failed':
-            this.count(chat.call, item.error);
+            this.recordRefusal(chat.call, event.error);
             yield formatCompletion.formatEvent(
-              apiError.toErrorBody(item.error, identity.requestId),
+              apiError.toErrorBody(event.error, identity.requestId),
             );
             return;
           case 'answered':
             yield formatCompletion.formatEnd(
               identity,
-              item.answer,
+              event.answer,
               includeUsage,
             );
             return;
@@ -290,7 +305,7 @@
         if (next.done) {
           return;
         }
-        item = next.value;
+        event = next.value;
       }
     } finally {
       await rest.return(undefined);
@@ -307,15 +322,15 @@
         id: chat.session.id,
         pins: chat.versions.pins,
       },
-      this.parts.sessionKey,
-      chatSessions.readTokenSeconds(chat.context.inForce.document),
+      this.dependencies.sessionKey,
+      chatSessions.getTokenLifetimeS(chat.context.activeConfiguration.document),
     );
     return response
       .header('x-request-id', chat.call.requestId)
       .header(chatSessions.TOKEN_HEADER, token);
   }
 
-  private createCancelled(): apiError.ApiError {
+  private createCancelledError(): apiError.ApiError {
     return {
       code: 'upstream_failed',
       ran: 'unknown',
@@ -329,18 +344,18 @@
     requestId: string,
     call?: chatRunner.ChatCall,
   ): hapi.ResponseObject {
-    this.count(call, error, requestId);
+    this.recordRefusal(call, error, requestId);
     return requestContext.replyError(h, error, requestId);
   }
 
-  private count(
+  private recordRefusal(
     call: chatRunner.ChatCall | undefined,
     error: apiError.ApiError,
     requestId = call?.requestId,
   ): void {
     const workspace = call?.workspace.name ?? 'unknown';
-    this.parts.metrics.requests.inc({workspace, outcome: error.code});
-    this.parts.events.record('request_refused', {
+    this.dependencies.metrics.requests.inc({workspace, outcome: error.code});
+    this.dependencies.events.record('request_refused', {
       ...(requestId === undefined ? {} : {request: requestId}),
       workspace,
       detail: `${error.code} ${error.ran}`,
--- a/packages/entry/src/chat-runner.ts
+++ b/packages/entry/src/chat-runner.ts
@@ -49,7 +49,7 @@
 }
 
 /** What a run yields: tokens, then one `answered` or `failed`. */
-export type ChatItem =
+export type ChatEvent =
   | {
       readonly kind: 'token';
       readonly text: string;
@@ -67,7 +67,7 @@
 }
 
 /** What happens in a run, for the time line and for learning. */
-export type ChatNotice =
+export type StageEvent =
   | {readonly kind: 'stage_started'; readonly run: StageRun}
   | {
       readonly kind: 'stage_answered';
@@ -84,7 +84,7 @@
     };
 
 /** What a run needs. */
-export interface ChatParts {
+export interface ChatDependencies {
   readonly chooseStages: (call: ChatCall) => StageChoice;
   readonly selectVersion: (
     call: ChatCall,
@@ -94,11 +94,11 @@
     run: StageRun,
     signal: AbortSignal,
   ) => AsyncIterable<upstreams.CompletionEvent>;
-  readonly notify: (notice: ChatNotice) => void;
+  readonly notify: (event: StageEvent) => void;
 }
 
 /** Failures by which no upstream had room for the request. */
-const NO_ROOM: readonly upstreams.EngineFailureCode[] = [
+const CAPACITY_FAILURES: readonly upstreams.EngineFailureCode[] = [
   'unreachable',
   'overloaded',
   'cold',
@@ -106,12 +106,15 @@
 
 const toApiError = (failure: upstreams.EngineFailure): apiError.ApiError => {
   const {ran, message} = failure;
-  return NO_ROOM.includes(failure.code)
+  return CAPACITY_FAILURES.includes(failure.code)
     ? {code: 'no_upstream', ran, message, retryAfterMs: 1000}
     : {code: 'upstream_failed', ran, message, retryAfterMs: 1000};
 };
 
-const toRunnable = (ran: apiError.Ran, other: apiError.Ran): apiError.Ran => {
+const mergeExecutionStatus = (
+  ran: apiError.ExecutionStatus,
+  other: apiError.ExecutionStatus,
+): apiError.ExecutionStatus => {
   if (ran === 'ran' || other === 'ran') {
     return 'ran';
   }
@@ -121,7 +124,7 @@
 /** State of one run over its stages. */
 class ChatRun {
   private readonly costs: StageCost[] = [];
-  private ran: apiError.Ran = 'not_run';
+  private ran: apiError.ExecutionStatus = 'not_run';
   private lastError: apiError.ApiError = {
     code: 'no_upstream',
     ran: 'not_run',
@@ -130,17 +133,18 @@
   };
 
   constructor(
-    private readonly parts: ChatParts,
+    private readonly dependencies: ChatDependencies,
     private readonly call: ChatCall,
     private readonly signal: AbortSignal,
   ) {}
 
-  async *run(): AsyncGenerator<ChatItem> {
+  async *run(): AsyncGenerator<ChatEvent> {
     const {stages} = this.call.plan;
-    const choice = this.parts.chooseStages(this.call);
+    const choice = this.dependencies.chooseStages(this.call);
     for (let index = choice.startStage; index < stages.length; index++) {
       const stage = stages[index];
-      const version = stage && this.parts.selectVersion(this.call, stage);
+      const version =
+        stage && this.dependencies.selectVersion(this.call, stage);
       if (!stage || version === undefined) {
         continue;
       }
@@ -152,7 +156,7 @@
         return;
       }
     }
-    const ran = toRunnable(this.ran, this.lastError.ran);
+    const ran = mergeExecutionStatus(this.ran, this.lastError.ran);
     yield {kind: 'failed', error: {...this.lastError, ran}};
   }
 
@@ -162,33 +166,37 @@
     version: string,
     isLast: boolean,
     accepts: (confidence: number) => boolean,
-  ): AsyncGenerator<ChatItem, boolean> {
+  ): AsyncGenerator<ChatEvent, boolean> {
     const model = stage.model.name;
     const run = {call: this.call, model, version};
-    const held: ChatItem[] = [];
-    this.parts.notify({kind: 'stage_started', run});
-    for await (const item of this.parts.runStage(run, this.signal)) {
-      switch (item.kind) {
+    const buffered: ChatEvent[] = [];
+    this.dependencies.notify({kind: 'stage_started', run});
+    for await (const event of this.dependencies.runStage(run, this.signal)) {
+      switch (event.kind) {
         case 'token': {
-          const token = {kind: 'token', text: item.text, model, version};
+          const token = {kind: 'token', text: event.text, model, version};
           if (isLast) {
-            yield token as ChatItem;
+            yield token as ChatEvent;
           } else {
-            held.push(token as ChatItem);
+            buffered.push(token as ChatEvent);
           }
           break;
         }
         case 'failed':
-          this.parts.notify({kind: 'stage_failed', run, failure: item.failure});
-          this.lastError = toApiError(item.failure);
-          this.ran = toRunnable(this.ran, item.failure.ran);
+          this.dependencies.notify({
+            kind: 'stage_failed',
+            run,
+            failure: event.failure,
+          });
+          this.lastError = toApiError(event.failure);
+          this.ran = mergeExecutionStatus(this.ran, event.failure.ran);
           return false;
         case 'finished': {
-          const {confidence} = item.end;
+          const {confidence} = event.end;
           const accepted = accepts(confidence);
           const escalated = this.costs.length > 0;
-          this.addCost(stage.model, version, item.end.completionTokens);
-          this.parts.notify({
+          this.addCost(stage.model, version, event.end.completionTokens);
+          this.dependencies.notify({
             kind: 'stage_answered',
             run,
             confidence,
@@ -199,8 +207,8 @@
             this.ran = 'ran';
             return false;
           }
-          yield* held;
-          yield {kind: 'answered', answer: this.toAnswer(run, item)};
+          yield* buffered;
+          yield {kind: 'answered', answer: this.toAnswer(run, event)};
           return true;
         }
       }
@@ -219,15 +227,15 @@
 
   private toAnswer(
     run: StageRun,
-    item: Extract<upstreams.CompletionEvent, {readonly kind: 'finished'}>,
+    event: Extract<upstreams.CompletionEvent, {readonly kind: 'finished'}>,
   ): ChatAnswer {
     return {
       model: run.model,
       version: run.version,
-      upstream: item.upstream,
-      finishReason: item.end.finishReason,
-      tokens: item.end.completionTokens,
-      confidence: item.end.confidence,
+      upstream: event.upstream,
+      finishReason: event.end.finishReason,
+      tokens: event.end.completionTokens,
+      confidence: event.end.confidence,
       cost: this.costs.reduce((sum, stage) => sum + stage.cost, 0),
       stages: this.costs,
     };
@@ -236,7 +244,7 @@
 
 /** Runs a chat request. */
 export const runChat = (
-  parts: ChatParts,
+  dependencies: ChatDependencies,
   call: ChatCall,
   signal: AbortSignal,
-): AsyncGenerator<ChatItem> => new ChatRun(parts, call, signal).run();
+): AsyncGenerator<ChatEvent> => new ChatRun(dependencies, call, signal).run();
--- a/packages/entry/src/chat-sessions.ts
+++ b/packages/entry/src/chat-sessions.ts
@@ -7,7 +7,7 @@
 import * as configuration from '@amaranthknot/configuration';
 import type * as apiError from './api-error.js';
 import type * as chatRunner from './chat-runner.js';
-import type * as entryParts from './entry-parts.js';
+import type * as entryDependencies from './entry-dependencies.js';
 import * as requestContext from './request-context.js';
 import type * as resolvePlan from './resolve-plan.js';
 import * as selectVersion from './select-version.js';
@@ -26,7 +26,7 @@
 export interface RequestSession {
   readonly id: string;
   /** Whether the caller chose the id, so that it may come without a token. */
-  readonly isCallersOwn: boolean;
+  readonly isCallerChosen: boolean;
   readonly pins: sessionToken.SessionPins;
 }
 
@@ -36,36 +36,39 @@
   purify.Left({code: 'invalid_session', ran: 'not_run', message});
 
 /** Life of a session's token in seconds, as the document says. */
-export const readTokenSeconds = (document: configuration.Document): number =>
+export const getTokenLifetimeS = (document: configuration.Document): number =>
   document.sessions === undefined
-    ? sessionToken.DEFAULT_TOKEN_SECONDS
+    ? sessionToken.DEFAULT_TOKEN_LIFETIME_S
     : Math.ceil(document.sessions.tokenMaxAgeMs / 1000);
 
 /** Reads the session of a request; a new one when it names none. */
 export const readSession = (
-  parts: entryParts.EntryParts,
+  dependencies: entryDependencies.EntryDependencies,
   request: hapi.Request,
   workspace: string,
-  tokenSeconds: number,
+  tokenLifetimeS: number,
 ): purify.Either<apiError.ApiError, RequestSession> => {
   const token = requestContext.readHeader(request, TOKEN_HEADER);
   if (token !== undefined) {
     return sessionToken
-      .verifySession(token, parts.sessionKey, workspace, tokenSeconds)
-      .map(({id, pins}) => ({id, pins, isCallersOwn: false}))
+      .verifySession(token, dependencies.sessionKey, workspace, tokenLifetimeS)
+      .map(({id, pins}) => ({id, pins, isCallerChosen: false}))
       .mapLeft(problem => ({
         code: 'invalid_session',
         ran: 'not_run',
         message: `the session token is refused: ${problem}`,
       }));
   }
-  const own = requestContext.readHeader(request, SESSION_HEADER);
-  if (own !== undefined && own.length > MAX_SESSION_ID) {
+  const callerSessionId = requestContext.readHeader(request, SESSION_HEADER);
+  if (
+    callerSessionId !== undefined &&
+    callerSessionId.length > MAX_SESSION_ID
+  ) {
     return refuse(`a session id has at most ${MAX_SESSION_ID} characters`);
   }
-  return own === undefined
-    ? purify.Right({id: parts.newId(), isCallersOwn: false, pins: {}})
-    : purify.Right({id: own, isCallersOwn: true, pins: {}});
+  return callerSessionId === undefined
+    ? purify.Right({id: dependencies.newId(), isCallerChosen: false, pins: {}})
+    : purify.Right({id: callerSessionId, isCallerChosen: true, pins: {}});
 };
 
 /** Versions of a plan's stages, and the pins that the session keeps. */
@@ -76,7 +79,7 @@
 
 /** Chooses the version of each stage once, before the request runs. */
 export const chooseVersions = async (
-  parts: entryParts.EntryParts,
+  dependencies: entryDependencies.EntryDependencies,
   workspace: string,
   session: RequestSession,
   plan: resolvePlan.Plan,
@@ -85,44 +88,50 @@
   const sessionKey = `${workspace}/${session.id}`;
   for (const {model, versions} of plan.stages) {
     const pinned = session.pins[model.name];
-    const assigned = parts.assignVersion(model.name, sessionKey);
-    const wanted = selectVersion.selectVersion({
+    const assigned = dependencies.assignVersion(model.name, sessionKey);
+    const preferred = selectVersion.selectVersion({
       model,
       allowed: versions,
       ...(pinned === undefined ? {} : {pinned}),
       ...(assigned === undefined ? {} : {assigned}),
     });
-    if (wanted === undefined) {
+    if (preferred === undefined) {
       continue;
     }
-    const version = session.isCallersOwn
-      ? await keepOwn(parts, workspace, session.id, {model, versions}, wanted)
-      : wanted;
+    const version = session.isCallerChosen
+      ? await pinCallerSession(
+          dependencies,
+          workspace,
+          session.id,
+          {model, versions},
+          preferred,
+        )
+      : preferred;
     byModel.set(model.name, version);
   }
   return {byModel, pins: {...session.pins, ...Object.fromEntries(byModel)}};
 };
 
-const keepOwn = async (
-  parts: entryParts.EntryParts,
+const pinCallerSession = async (
+  dependencies: entryDependencies.EntryDependencies,
   workspace: string,
   sessionId: string,
   stage: resolvePlan.PlanStage,
-  wanted: string,
+  preferred: string,
 ): Promise<string> => {
   const {model, versions} = stage;
-  const pinned = await parts.pinVersion(
+  const pinned = await dependencies.pinVersion(
     workspace,
     sessionId,
     model.name,
-    wanted,
+    preferred,
   );
   const kept = selectVersion.selectVersion({
     model,
     pinned,
     allowed: versions,
   });
-  return kept ?? wanted;
+  return kept ?? preferred;
 };
 
 /**
@@ -134,12 +143,12 @@
  * this instance may start no work at all.
  */
 export const confirmVersion = (
-  inForce: entryParts.InForce | undefined,
+  activeConfiguration: entryDependencies.ActiveConfiguration | undefined,
   call: chatRunner.ChatCall,
   modelName: string,
   chosen: string | undefined,
 ): string | undefined => {
-  const {document} = inForce ?? {};
+  const {document} = activeConfiguration ?? {};
   const model = document?.models.find(found => found.name === modelName);
   const workspace = document?.workspaces.find(
     found => found.name === call.workspace.name,
--- a/packages/entry/src/entry-parts.ts
+++ b/packages/entry/src/entry-dependencies.ts
@@ -6,12 +6,12 @@
 import type * as ports from '@amaranthknot/ports';
 import type * as telemetry from '@amaranthknot/telemetry';
 import type * as upstreams from '@amaranthknot/upstreams';
-import type * as admissionGate from './admission-gate.js';
+import type * as admissionController from './admission-controller.js';
 import type * as chatRunner from './chat-runner.js';
 import type * as rolloutCounters from './rollout-counters.js';
 
 /** The configuration that this instance works by. */
-export interface InForce {
+export interface ActiveConfiguration {
   readonly environment: string;
   readonly generation: number;
   readonly digest: string;
@@ -19,7 +19,7 @@
 }
 
 /** An address offered to callers. */
-export interface OfferedAddress {
+export interface EntryAddress {
   readonly address: string;
   readonly zone: string;
 }
@@ -38,23 +38,25 @@
 }
 
 /** An answer that a caller got. */
-export interface GivenAnswer {
+export interface DeliveredAnswer {
   readonly call: chatRunner.ChatCall;
   readonly answer: chatRunner.ChatAnswer;
   readonly text: string;
 }
 
 /** Where one attempt of a chat stage may run. */
-export type PlaceStage = (
+export type StagePlacer = (
   run: chatRunner.StageRun,
   tried: readonly string[],
 ) => upstreams.Placement | undefined;
 
 /** Where a plain service may be called; undefined when nowhere. */
-export type PlaceService = (service: string) => upstreams.Placement | undefined;
+export type ServicePlacer = (
+  service: string,
+) => upstreams.Placement | undefined;
 
 /** Everything the server needs. */
-export interface EntryParts {
+export interface EntryDependencies {
   readonly instanceId: string;
   readonly listen: {readonly host: string; readonly port: number};
   readonly zone: string;
@@ -66,10 +68,10 @@
   readonly operatorDigest: string;
   readonly innerKey: string;
   /** Undefined until a first configuration, or when it is too old to act on. */
-  readonly inForce: () => InForce | undefined;
+  readonly activeConfiguration: () => ActiveConfiguration | undefined;
   /** Addresses for callers, best first; never this one when it is leaving. */
-  readonly offerAddresses: (zone?: string) => readonly OfferedAddress[];
-  readonly admission: admissionGate.AdmissionGate;
+  readonly listAddresses: (zone?: string) => readonly EntryAddress[];
+  readonly admission: admissionController.AdmissionController;
   readonly cascades: decisions.CascadePolicy;
   /** Version that a roll-out gives to a session that has none. */
   readonly assignVersion: (
@@ -83,15 +85,15 @@
     model: string,
     version: string,
   ) => Promise<string>;
-  readonly placeStage: PlaceStage;
-  readonly placeService: PlaceService;
+  readonly placeStage: StagePlacer;
+  readonly placeService: ServicePlacer;
   readonly openEngine: upstreams.OpenEngineStream;
   readonly callService: upstreams.ServiceClient;
   /** Notes a first attempt, which earns a part of a retry. */
-  readonly noteAttempt: (model: string) => void;
+  readonly recordAttempt: (model: string) => void;
   readonly mayRetry: (model: string) => boolean;
-  readonly claims: ledger.ClaimKeeper;
-  readonly bills: ledger.BillKeeper;
+  readonly claims: ledger.ClaimLedger;
+  readonly bills: ledger.BillLedger;
   readonly events: telemetry.EventRing;
   readonly metrics: telemetry.Metrics;
   readonly logger: telemetry.Logger;
@@ -100,13 +102,13 @@
   /** State for operators, as JSON. */
   readonly describeState: () => object;
   /** Notes an answer that was given, so that some of them are rated. */
-  readonly offerForRating: (answer: GivenAnswer) => void;
+  readonly offerForRating: (answer: DeliveredAnswer) => void;
   /** Notes that an upstream refused as in cold start. */
-  readonly noteCold: (upstream: string) => void;
+  readonly recordColdRefusal: (upstream: string) => void;
   /** Counts what a version did, for a roll-out that may be about it. */
-  readonly countVersion: (
+  readonly recordObservation: (
     model: string,
     version: string,
-    sign: rolloutCounters.VersionSign,
+    observation: rolloutCounters.VersionObservation,
   ) => void;
 }
--- a/packages/entry/src/entry-server.ts
+++ b/packages/entry/src/entry-server.ts
@@ -3,9 +3,9 @@
 import * as protocol from '@amaranthknot/protocol';
 import * as authenticate from './authenticate.js';
 import * as chatRoutes from './chat-routes.js';
-import type * as entryParts from './entry-parts.js';
+import type * as entryDependencies from './entry-dependencies.js';
 import * as listeners from './listener.js';
-import * as refuseInput from './refuse-input.js';
+import * as inputErrors from './input-errors.js';
 import * as requestContext from './request-context.js';
 import * as resolvePlan from './resolve-plan.js';
 import * as serviceRoutes from './service-routes.js';
@@ -19,16 +19,21 @@
   private isOpen = false;
   private active = 0;
 
-  constructor(private readonly parts: entryParts.EntryParts) {
-    this.chat = new chatRoutes.ChatRoutes(parts);
-    this.services = new serviceRoutes.ServiceRoutes(parts);
-    const listener = new listeners.Listener(parts.limits, parts.newId);
+  constructor(
+    private readonly dependencies: entryDependencies.EntryDependencies,
+  ) {
+    this.chat = new chatRoutes.ChatRoutes(dependencies);
+    this.services = new serviceRoutes.ServiceRoutes(dependencies);
+    const listener = new listeners.Listener(
+      dependencies.limits,
+      dependencies.newId,
+    );
     this.server = hapi.server({
       listener: listener.server,
-      host: parts.listen.host,
-      port: parts.listen.port,
+      host: dependencies.listen.host,
+      port: dependencies.listen.port,
       routes: {
-        payload: {maxBytes: parts.limits.maxBodyBytes},
+        payload: {maxBytes: dependencies.limits.maxBodyBytes},
         // A part of an answer must not pass for the whole, and a range that
         // is none must not refuse a request after it ran.
         response: {ranges: false},
@@ -39,12 +44,12 @@
       // Errors of our own carry a code; hapi's log would be a second one.
       debug: false,
     });
-    listener.takeRefusals();
+    listener.handleClientErrors();
     this.server.ext('onRequest', (request, h) =>
-      refuseInput.refuseLarge(parts, request, h),
+      inputErrors.refuseOversizedBody(dependencies, request, h),
     );
     this.server.ext('onPreResponse', (request, h) =>
-      refuseInput.formatBoom(parts, request, h),
+      inputErrors.formatBoomError(dependencies, request, h),
     );
     this.addCallerRoutes();
     this.addOperatorRoutes();
@@ -79,14 +84,14 @@
 
   /** Stops listening; waits for requests in progress within the grace. */
   async stop(): Promise<void> {
-    await this.server.stop({timeout: this.parts.limits.stopGraceMs});
+    await this.server.stop({timeout: this.dependencies.limits.stopGraceMs});
   }
 
   private addCallerRoutes(): void {
     const raw = {
       parse: false,
       output: 'data',
-      maxBytes: this.parts.limits.maxBodyBytes,
+      maxBytes: this.dependencies.limits.maxBodyBytes,
       timeout: listeners.BODY_TIMEOUT_MS,
     } as const;
     this.server.route([
@@ -124,7 +129,11 @@
   }
 
   private isReady(): boolean {
-    return this.isOpen && !this.leaving && this.parts.inForce() !== undefined;
+    return (
+      this.isOpen &&
+      !this.leaving &&
+      this.dependencies.activeConfiguration() !== undefined
+    );
   }
 
   private addOperatorRoutes(): void {
@@ -147,7 +156,7 @@
           if (!this.isOperator(request)) {
             return this.refuseOperator(h);
           }
-          const {registry} = this.parts.metrics;
+          const {registry} = this.dependencies.metrics;
           return h.response(await registry.metrics()).type('text/plain');
         },
       },
@@ -156,7 +165,7 @@
         path: '/operator/state',
         handler: (request, h) =>
           this.isOperator(request)
-            ? h.response(this.parts.describeState())
+            ? h.response(this.dependencies.describeState())
             : this.refuseOperator(h),
       },
       {
@@ -167,7 +176,7 @@
             return this.refuseOperator(h);
           }
           const {after} = request.query as {after?: string};
-          const events = this.parts.events.read(Number(after ?? -1));
+          const events = this.dependencies.events.read(Number(after ?? -1));
           return h.response({events});
         },
       },
@@ -178,7 +187,7 @@
           payload: {
             parse: 'gunzip',
             output: 'data',
-            maxBytes: refuseInput.MAX_PEER_BODY_BYTES,
+            maxBytes: inputErrors.MAX_PEER_BODY_BYTES,
           },
         },
         handler: async (request, h) => {
@@ -186,7 +195,7 @@
             return this.refuseOperator(h);
           }
           const text = (request.payload as Buffer).toString('utf8');
-          const answer = await this.parts.handlePeer(text);
+          const answer = await this.dependencies.handlePeer(text);
           return h.response(answer).type('application/json');
         },
       },
@@ -207,10 +216,11 @@
     request: hapi.Request,
     h: hapi.ResponseToolkit,
   ): hapi.ResponseObject {
-    return requestContext.createContext(this.parts, request).caseOf({
-      Left: error => requestContext.replyError(h, error, this.parts.newId()),
-      Right: ({workspace, inForce}) => {
-        const {document} = inForce;
+    return requestContext.createContext(this.dependencies, request).caseOf({
+      Left: error =>
+        requestContext.replyError(h, error, this.dependencies.newId()),
+      Right: ({workspace, activeConfiguration}) => {
+        const {document} = activeConfiguration;
         const cascades = document.cascades.map(cascade => cascade.name);
         const models = document.models.map(model => model.name);
         const data = [...cascades, ...models]
@@ -233,11 +243,11 @@
     h: hapi.ResponseToolkit,
   ): hapi.ResponseObject {
     const {zone} = request.query as {zone?: string};
-    const maxAgeMs = this.parts.limits.addressMaxAgeMs;
+    const maxAgeMs = this.dependencies.limits.addressMaxAgeMs;
     const seconds = Math.floor(maxAgeMs / 1000);
     return h
       .response({
-        instances: this.parts.offerAddresses(zone),
+        instances: this.dependencies.listAddresses(zone),
         max_age_ms: maxAgeMs,
       })
       .header('cache-control', `max-age=${seconds}`);
@@ -250,7 +260,7 @@
       key !== undefined &&
       authenticate.equalDigests(
         authenticate.digestKey(key),
-        this.parts.operatorDigest,
+        this.dependencies.operatorDigest,
       )
     );
   }
@@ -258,7 +268,7 @@
   private isPeer(request: hapi.Request): boolean {
     const header = requestContext.readHeader(request, 'authorization');
     const key = authenticate.readBearerKey(header);
-    const expected = authenticate.digestKey(this.parts.innerKey);
+    const expected = authenticate.digestKey(this.dependencies.innerKey);
     return (
       key !== undefined &&
       authenticate.equalDigests(authenticate.digestKey(key), expected)
@@ -268,6 +278,6 @@
   private refuseOperator(h: hapi.ResponseToolkit): hapi.ResponseObject {
     const message = 'this needs a key of its own';
     const error = {code: 'invalid_key', ran: 'not_run', message} as const;
-    return requestContext.replyError(h, error, this.parts.newId());
+    return requestContext.replyError(h, error, this.dependencies.newId());
   }
 }
--- a/packages/entry/src/refuse-input.ts
+++ b/packages/entry/src/input-errors.ts
@@ -2,7 +2,7 @@
 import type * as hapi from '@hapi/hapi';
 import * as protocol from '@amaranthknot/protocol';
 import type * as apiError from './api-error.js';
-import type * as entryParts from './entry-parts.js';
+import type * as entryDependencies from './entry-dependencies.js';
 import * as requestContext from './request-context.js';
 
 /** Largest message between entry instances, in bytes. */
@@ -12,13 +12,15 @@
  * Refuses a body by its announced length. hapi would first read all of it,
  * so that a caller which never sends it would never be answered.
  */
-export const refuseLarge = (
-  parts: entryParts.EntryParts,
+export const refuseOversizedBody = (
+  dependencies: entryDependencies.EntryDependencies,
   request: hapi.Request,
   h: hapi.ResponseToolkit,
 ): hapi.ResponseObject | symbol => {
   const isPeers = request.path === protocol.INNER_PATH;
-  const maxBytes = isPeers ? MAX_PEER_BODY_BYTES : parts.limits.maxBodyBytes;
+  const maxBytes = isPeers
+    ? MAX_PEER_BODY_BYTES
+    : dependencies.limits.maxBodyBytes;
   const length = Number(request.headers['content-length'] ?? 0);
   if (length <= maxBytes) {
     return h.continue;
@@ -26,14 +28,14 @@
   const message = `a body has at most ${maxBytes} bytes`;
   const error = {code: 'invalid_request', ran: 'not_run', message} as const;
   return requestContext
-    .replyError(h, error, parts.newId())
+    .replyError(h, error, dependencies.newId())
     .code(413)
     .takeover();
 };
 
 /** Gives hapi's own errors, such as a body too large, our shape. */
-export const formatBoom = (
-  parts: entryParts.EntryParts,
+export const formatBoomError = (
+  dependencies: entryDependencies.EntryDependencies,
   request: hapi.Request,
   h: hapi.ResponseToolkit,
 ): hapi.ResponseObject | symbol => {
@@ -45,7 +47,7 @@
   const isOurs = status >= 500;
   if (isOurs) {
     const {message, stack} = response;
-    parts.logger.error('request failed', {message, stack});
+    dependencies.logger.error('request failed', {message, stack});
   }
   // hapi refuses a body or path before any handler of ours runs; a failure
   // inside a handler may have come after the work began.
@@ -56,6 +58,6 @@
         ran: 'not_run',
         message: response.message,
       };
-  const requestId = parts.newId();
+  const requestId = dependencies.newId();
   return requestContext.replyError(h, error, requestId).code(status);
 };
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -53,7 +53,10 @@
 /** A listener, and what it does about requests that the parser refuses. */
 export class Listener {
   readonly server: http.Server;
-  private readonly open = new WeakMap<net.Socket, http.IncomingMessage>();
+  private readonly activeRequests = new WeakMap<
+    net.Socket,
+    http.IncomingMessage
+  >();
 
   constructor(
     limits: ListenerLimits,
@@ -72,7 +75,7 @@
       requireHostHeader: false,
     });
     this.server.on('request', (request, response) =>
-      this.noteOpen(request, response),
+      this.trackRequest(request, response),
     );
     this.server.on('checkExpectation', (request, response) =>
       this.server.emit('request', request, response),
@@ -80,22 +83,22 @@
   }
 
   /** Answers refusals itself; call it when a framework has added its own. */
-  takeRefusals(): void {
+  handleClientErrors(): void {
     this.server.removeAllListeners('clientError');
     this.server.on('clientError', (error: ParserError, socket) =>
       this.refuse(error.code ?? '', socket as net.Socket),
     );
   }
 
-  private noteOpen(
+  private trackRequest(
     request: http.IncomingMessage,
     response: http.ServerResponse,
   ): void {
     const {socket} = request;
-    this.open.set(socket, request);
+    this.activeRequests.set(socket, request);
     response.once('close', () => {
-      if (this.open.get(socket) === request) {
-        this.open.delete(socket);
+      if (this.activeRequests.get(socket) === request) {
+        this.activeRequests.delete(socket);
       }
     });
   }
@@ -106,7 +109,7 @@
    * answer to that one. Such a connection is closed without an answer.
    */
   private refuse(code: string, socket: net.Socket): void {
-    const mayRun = this.open.get(socket)?.complete ?? false;
+    const mayRun = this.activeRequests.get(socket)?.complete ?? false;
     if (mayRun || !socket.writable) {
       socket.destroy();
       return;
--- a/packages/entry/src/pin-registry.ts
+++ b/packages/entry/src/pin-registry.ts
@@ -11,7 +11,7 @@
 export const PIN_KIND = 'session_pin';
 
 /** Pins remembered by one instance: about 10 MB. */
-const MAX_REMEMBERED = 50_000;
+const MAX_CACHED_PINS = 50_000;
 
 const nameOf = (workspace: string, sessionId: string, model: string): string =>
   crypto
@@ -26,8 +26,8 @@
 
 /** Keeps the versions of callers' own sessions. */
 export class PinRegistry {
-  private readonly remembered = new lruCache.LRUCache<string, string>({
-    max: MAX_REMEMBERED,
+  private readonly cache = new lruCache.LRUCache<string, string>({
+    max: MAX_CACHED_PINS,
   });
 
   constructor(private readonly store: ports.ObjectStore) {}
@@ -44,7 +44,7 @@
     version: string,
   ): Promise<string> {
     const name = nameOf(workspace, sessionId, model);
-    const known = this.remembered.get(name);
+    const known = this.cache.get(name);
     if (known !== undefined) {
       return known;
     }
@@ -53,7 +53,7 @@
     if (pinned === undefined) {
       return version;
     }
-    this.remembered.set(name, pinned);
+    this.cache.set(name, pinned);
     return pinned;
   }
 
--- a/packages/entry/src/prepare-chat.ts
+++ b/packages/entry/src/prepare-chat.ts
@@ -6,7 +6,7 @@
 import * as chatRequest from './chat-request.js';
 import type * as chatRunner from './chat-runner.js';
 import * as chatSessions from './chat-sessions.js';
-import type * as entryParts from './entry-parts.js';
+import type * as entryDependencies from './entry-dependencies.js';
 import * as requestContext from './request-context.js';
 import * as resolvePlan from './resolve-plan.js';
 
@@ -23,13 +23,13 @@
 
 /** Authenticates, parses, resolves and fixes the versions of a request. */
 export const prepareChat = async (
-  parts: entryParts.EntryParts,
+  dependencies: entryDependencies.EntryDependencies,
   request: hapi.Request,
 ): Promise<Preparation> => {
   const text = Buffer.isBuffer(request.payload)
     ? request.payload.toString('utf8')
     : '';
-  const ready = parts.bills
+  const accepted = dependencies.bills
     .mayAccept()
     .mapLeft((refusal): apiError.ApiError => ({
       code: 'platform_out',
@@ -37,20 +37,20 @@
       message: 'bills cannot be kept safe now',
       retryAfterMs: refusal.retryAfterMs,
     }));
-  const resolved = ready
-    .chain(() => requestContext.createContext(parts, request))
+  const resolved = accepted
+    .chain(() => requestContext.createContext(dependencies, request))
     .chain(context =>
       chatRequest.parseChatRequest(text).chain(body => {
-        const {document} = context.inForce;
+        const {document} = context.activeConfiguration;
         return resolvePlan
           .resolvePlan(document, context.workspace, body.model)
           .chain(plan =>
             chatSessions
               .readSession(
-                parts,
+                dependencies,
                 request,
                 context.workspace.name,
-                chatSessions.readTokenSeconds(document),
+                chatSessions.getTokenLifetimeS(document),
               )
               .map(session => ({context, body, plan, session})),
           );
@@ -62,7 +62,7 @@
   const {context, body, plan, session} = resolved.unsafeCoerce();
   const {requestId, workspace} = context;
   const versions = await chatSessions.chooseVersions(
-    parts,
+    dependencies,
     workspace.name,
     session,
     plan,
@@ -71,7 +71,7 @@
   const identity = ledger.identifyRequest(workspace.name, key, requestId);
   const affinityKey = `${workspace.name}/${session.id}`;
   const call = {requestId, workspace, plan, request: body, affinityKey};
-  parts.events.record('request_received', {
+  dependencies.events.record('request_received', {
     request: requestId,
     workspace: workspace.name,
     detail: plan.name,
--- a/packages/entry/src/request-context.ts
+++ b/packages/entry/src/request-context.ts
@@ -4,13 +4,13 @@
 import type * as configuration from '@amaranthknot/configuration';
 import * as apiError from './api-error.js';
 import * as authenticate from './authenticate.js';
-import type * as entryParts from './entry-parts.js';
+import type * as entryDependencies from './entry-dependencies.js';
 
 /** An authenticated request. */
 export interface RequestContext {
   readonly requestId: string;
   readonly workspace: configuration.Workspace;
-  readonly inForce: entryParts.InForce;
+  readonly activeConfiguration: entryDependencies.ActiveConfiguration;
   /** Aborts when the caller goes away or the request's time is up. */
   readonly signal: AbortSignal;
 }
@@ -33,7 +33,7 @@
  * of `AbortSignal.timeout` and one that joins both would outlive each request
  * by two minutes, at 200 requests/s 48,000 of them.
  */
-export const watchCaller = (
+export const createCancellationSignal = (
   request: hapi.Request,
   timeoutMs: number,
 ): AbortSignal => {
@@ -51,22 +51,25 @@
 
 /** Authenticates a caller's request against the configuration in force. */
 export const createContext = (
-  parts: entryParts.EntryParts,
+  dependencies: entryDependencies.EntryDependencies,
   request: hapi.Request,
 ): purify.Either<apiError.ApiError, RequestContext> => {
-  const inForce = parts.inForce();
-  if (!inForce) {
+  const activeConfiguration = dependencies.activeConfiguration();
+  if (!activeConfiguration) {
     return purify.Left({
       code: 'not_ready',
       ran: 'not_run',
       message: 'no confirmed configuration is in force here',
-      retryAfterMs: apiError.drawRetryAfter(NOT_READY_RETRY_MS, parts.random),
+      retryAfterMs: apiError.jitterRetryAfter(
+        NOT_READY_RETRY_MS,
+        dependencies.random,
+      ),
     });
   }
   const header = readHeader(request, 'authorization');
   const key = authenticate.readBearerKey(header);
   const workspace = key
-    ? authenticate.findWorkspace(inForce.document, key)
+    ? authenticate.findWorkspace(activeConfiguration.document, key)
     : undefined;
   if (!workspace) {
     return purify.Left({
@@ -76,27 +79,30 @@
     });
   }
   return purify.Right({
-    requestId: parts.newId(),
+    requestId: dependencies.newId(),
     workspace,
-    inForce,
-    signal: watchCaller(request, parts.limits.requestTimeoutMs),
+    activeConfiguration,
+    signal: createCancellationSignal(
+      request,
+      dependencies.limits.requestTimeoutMs,
+    ),
   });
 };
 
 /** Admits a request of a workspace at its priority and within its limits. */
 export const admit = (
-  parts: entryParts.EntryParts,
+  dependencies: entryDependencies.EntryDependencies,
   context: RequestContext,
 ): Promise<purify.Either<apiError.ApiError, () => void>> => {
   const {workspace} = context;
-  const now = parts.clock.now();
-  return parts.admission.admit(
+  const now = dependencies.clock.now();
+  return dependencies.admission.admit(
     {
       id: context.requestId,
       workspace: workspace.name,
       priority: workspace.priority,
       weight: workspace.weight,
-      deadlineMs: now + parts.limits.requestTimeoutMs,
+      deadlineMs: now + dependencies.limits.requestTimeoutMs,
       maxWaitMs: workspace.limits.maxWaitMs,
       maxConcurrent: workspace.limits.maxConcurrent,
       maxQueued: workspace.limits.maxQueued,
@@ -116,7 +122,10 @@
     .code(apiError.statusOf(error))
     .header('x-request-id', requestId);
   if (error.retryAfterMs !== undefined) {
-    response.header('retry-after', apiError.toRetryAfter(error.retryAfterMs));
+    response.header(
+      'retry-after',
+      apiError.formatRetryAfter(error.retryAfterMs),
+    );
   }
   // A caller's library must not repeat what may have run already.
   if (error.ran !== 'not_run') {
--- a/packages/entry/src/rollout-counters.ts
+++ b/packages/entry/src/rollout-counters.ts
@@ -7,7 +7,7 @@
   `${rollout.model}.${rollout.from}.${rollout.to}`;
 
 /** One observation about a version. */
-export type VersionSign = Partial<decisions.VersionCounts>;
+export type VersionObservation = Partial<decisions.VersionCounts>;
 
 /** Evidence of one instance, by roll-out. */
 export class RolloutCounters {
@@ -18,7 +18,7 @@
     rollouts: readonly configuration.Rollout[],
     model: string,
     version: string,
-    sign: VersionSign,
+    observation: VersionObservation,
   ): void {
     const rollout = rollouts.find(found => found.model === model);
     const isOld = rollout?.from === version;
@@ -28,8 +28,8 @@
     const name = nameRollout(rollout);
     const before = this.evidence.get(name) ?? decisions.NO_EVIDENCE;
     const after = isOld
-      ? {...before, old: decisions.addCounts(before.old, sign)}
-      : {...before, new: decisions.addCounts(before.new, sign)};
+      ? {...before, old: decisions.addCounts(before.old, observation)}
+      : {...before, new: decisions.addCounts(before.new, observation)};
     this.evidence.set(name, after);
   }
 
--- a/packages/entry/src/rollout-driver.ts
+++ b/packages/entry/src/rollout-driver.ts
@@ -19,14 +19,14 @@
 }
 
 /** The right to drive, as the lease gives it. */
-export interface DrivingTerm {
+export interface TaskTerm {
   readonly fencing: number;
   mayAct(): boolean;
   readonly signal: AbortSignal;
 }
 
 /** What a driver works with. */
-export interface RolloutDriverParts {
+export interface RolloutDriverDependencies {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
   readonly environment: string;
@@ -43,30 +43,30 @@
 }
 
 /** Time between two looks, in milliseconds. */
-export const LOOK_INTERVAL_MS = 1_000;
+export const EVALUATION_INTERVAL_MS = 1_000;
 
 /** How late ratings are taken to be, in seconds, before any is measured. */
 const RATING_DELAY_S = 5;
 
-interface Held {
+interface VersionedState {
   readonly stored: StoredRollout;
   /** Version of the object; 0 when there is none yet. */
   readonly version: number;
 }
 
 /** Name of a roll-out's state object. */
-export const nameState = (
+export const nameRolloutState = (
   environment: string,
   rollout: configuration.Rollout,
 ): string => `${environment}.${rolloutCounters.nameRollout(rollout)}`;
 
 /** Reads the state; undefined when the platform does not answer. */
 const readState = async (
-  parts: RolloutDriverParts,
+  dependencies: RolloutDriverDependencies,
   name: string,
-): Promise<Held | undefined> => {
-  const found = await parts.store.get(ROLLOUT_KIND, name);
-  return found.caseOf<Held | undefined>({
+): Promise<VersionedState | undefined> => {
+  const found = await dependencies.store.get(ROLLOUT_KIND, name);
+  return found.caseOf<VersionedState | undefined>({
     Left: error =>
       error.code === 'not_found'
         ? {
@@ -82,75 +82,85 @@
 };
 
 const writeState = async (
-  parts: RolloutDriverParts,
+  dependencies: RolloutDriverDependencies,
   name: string,
-  held: Held,
+  current: VersionedState,
   stored: StoredRollout,
 ): Promise<boolean> => {
   const written =
-    held.version === 0
-      ? await parts.store.create(ROLLOUT_KIND, name, stored)
-      : await parts.store.update(ROLLOUT_KIND, name, stored, held.version);
+    current.version === 0
+      ? await dependencies.store.create(ROLLOUT_KIND, name, stored)
+      : await dependencies.store.update(
+          ROLLOUT_KIND,
+          name,
+          stored,
+          current.version,
+        );
   return written.isRight();
 };
 
 const countRequests = (evidence: decisions.EvidenceByInstance): number =>
   Object.values(evidence).reduce(
-    (sum, one) => sum + one.old.requests + one.new.requests,
+    (sum, counts) => sum + counts.old.requests + counts.new.requests,
     0,
   );
 
 /** Looks once; says whether the roll-out goes on. */
-const look = async (
-  parts: RolloutDriverParts,
+const evaluate = async (
+  dependencies: RolloutDriverDependencies,
   rollout: configuration.Rollout,
-  term: DrivingTerm,
+  term: TaskTerm,
   seconds: number,
 ): Promise<boolean> => {
-  const name = nameState(parts.environment, rollout);
-  const held = await readState(parts, name);
-  if (!held) {
+  const name = nameRolloutState(dependencies.environment, rollout);
+  const current = await readState(dependencies, name);
+  if (!current) {
     return true;
   }
-  const evidence = await parts.collectEvidence(
+  const evidence = await dependencies.collectEvidence(
     rolloutCounters.nameRollout(rollout),
   );
-  const before = held.stored.state;
-  const fresh = countRequests(evidence) - countRequests(before.judged);
+  const before = current.stored.state;
+  const newRequests = countRequests(evidence) - countRequests(before.judged);
   const {state, decision} = decisions.evaluateRollout(before, {
     steps: rollout.steps,
     evidence,
-    requestRate: Math.max(0, fresh) / seconds,
+    requestRate: Math.max(0, newRequests) / seconds,
     ratingDelay: RATING_DELAY_S,
   });
   // A holder that lost its lease while it collected must not write; the
   // object's version refuses it too if it is paused right here.
-  if (!term.mayAct() || held.stored.fencing > term.fencing) {
+  if (!term.mayAct() || current.stored.fencing > term.fencing) {
     return false;
   }
   const stored = {state, fencing: term.fencing};
-  if (!(await writeState(parts, name, held, stored))) {
+  if (!(await writeState(dependencies, name, current, stored))) {
     return true;
   }
   if (decision.kind === 'stop') {
-    parts.notify('rollout_stopped', rollout, decision.reason);
-    return !(await parts.withdraw(rollout));
+    dependencies.notify('rollout_stopped', rollout, decision.reason);
+    return !(await dependencies.withdraw(rollout));
   }
   if (decision.kind === 'advance') {
-    parts.notify('rollout_step', rollout, `share ${decision.share}`);
+    dependencies.notify('rollout_step', rollout, `share ${decision.share}`);
   }
   return true;
 };
 
 /** Drives a roll-out until it is stopped or the term ends. */
 export const driveRollout = async (
-  parts: RolloutDriverParts,
+  dependencies: RolloutDriverDependencies,
   rollout: configuration.Rollout,
-  term: DrivingTerm,
+  term: TaskTerm,
 ): Promise<void> => {
-  let goesOn = true;
-  while (goesOn && term.mayAct() && !term.signal.aborted) {
-    goesOn = await look(parts, rollout, term, LOOK_INTERVAL_MS / 1000);
-    await parts.clock.sleep(LOOK_INTERVAL_MS, term.signal);
+  let isRunning = true;
+  while (isRunning && term.mayAct() && !term.signal.aborted) {
+    isRunning = await evaluate(
+      dependencies,
+      rollout,
+      term,
+      EVALUATION_INTERVAL_MS / 1000,
+    );
+    await dependencies.clock.sleep(EVALUATION_INTERVAL_MS, term.signal);
   }
 };
--- a/packages/entry/src/rollout-shares.ts
+++ b/packages/entry/src/rollout-shares.ts
@@ -13,7 +13,7 @@
  * the guard cannot be heard, as in a platform outage, a bad version could not
  * be stopped; its sessions of before keep it, new ones get the old version.
  */
-const MAX_AGE_MS = 10_000;
+const MAX_SHARE_AGE_MS = 10_000;
 
 /** Reads and remembers the shares. */
 export class RolloutShares {
@@ -41,12 +41,12 @@
   }
 
   /** Share of new sessions for a roll-out, 0 to 1. */
-  shareOf(environment: string, rollout: configuration.Rollout): number {
-    const isOld = this.clock.now() - this.readAt > MAX_AGE_MS;
-    if (isOld || rollout.state === 'withdrawn') {
+  getShare(environment: string, rollout: configuration.Rollout): number {
+    const isStale = this.clock.now() - this.readAt > MAX_SHARE_AGE_MS;
+    if (isStale || rollout.state === 'withdrawn') {
       return 0;
     }
-    const name = rolloutDriver.nameState(environment, rollout);
+    const name = rolloutDriver.nameRolloutState(environment, rollout);
     return this.shares.get(name) ?? 0;
   }
 
@@ -62,7 +62,7 @@
       return undefined;
     }
     const name = rolloutCounters.nameRollout(rollout);
-    const share = this.shareOf(environment, rollout);
+    const share = this.getShare(environment, rollout);
     const chosen = decisions.assignVersion(name, sessionKey, share);
     return chosen === 'new' ? rollout.to : rollout.from;
   }
--- a/packages/entry/src/select-version.ts
+++ b/packages/entry/src/select-version.ts
@@ -45,15 +45,15 @@
   const {model, allowed} = request;
   const isAllowed = (name: string) =>
     allowed === undefined || allowed.includes(name);
-  const wishes = [
+  const candidates = [
     request.pinned,
     request.assigned,
     model.defaultVersion,
     ...(allowed ?? []),
   ];
-  for (const wish of wishes) {
+  for (const candidate of candidates) {
     const found =
-      wish === undefined ? undefined : followSuccessors(model, wish);
+      candidate === undefined ? undefined : followSuccessors(model, candidate);
     if (found !== undefined && isAllowed(found)) {
       return found;
     }
--- a/packages/entry/src/service-routes.ts
+++ b/packages/entry/src/service-routes.ts
@@ -9,7 +9,7 @@
 import * as ledger from '@amaranthknot/ledger';
 import type * as upstreams from '@amaranthknot/upstreams';
 import type * as apiError from './api-error.js';
-import type * as entryParts from './entry-parts.js';
+import type * as entryDependencies from './entry-dependencies.js';
 import * as recordedAnswer from './recorded-answer.js';
 import * as requestContext from './request-context.js';
 
@@ -17,7 +17,7 @@
 const MAX_KEY_LENGTH = 256;
 
 /** When to ask again after a call whose outcome is not known, in ms. */
-const ASK_AGAIN_MS = 2_000;
+const RETRY_AFTER_MS = 2_000;
 
 /** A call of a plain service. */
 interface ServiceRequest {
@@ -42,40 +42,49 @@
 const toApiError = (failure: upstreams.ServiceFailure): apiError.ApiError => {
   const {ran, message} = failure;
   return ran === 'not_run'
-    ? {code: 'no_upstream', ran, message, retryAfterMs: ASK_AGAIN_MS}
-    : {code: 'outcome_unknown', ran, message, retryAfterMs: ASK_AGAIN_MS};
+    ? {code: 'no_upstream', ran, message, retryAfterMs: RETRY_AFTER_MS}
+    : {code: 'outcome_unknown', ran, message, retryAfterMs: RETRY_AFTER_MS};
 };
 
 /** Answers calls of plain services. */
 export class ServiceRoutes {
-  constructor(private readonly parts: entryParts.EntryParts) {}
+  constructor(
+    private readonly dependencies: entryDependencies.EntryDependencies,
+  ) {}
 
   /** Handles one call. */
   async handle(
     request: hapi.Request,
     h: hapi.ResponseToolkit,
   ): Promise<hapi.ResponseObject> {
-    const read = this.read(request);
-    if (read.isLeft()) {
-      return requestContext.replyError(h, read.extract(), this.parts.newId());
+    const parsed = this.parse(request);
+    if (parsed.isLeft()) {
+      return requestContext.replyError(
+        h,
+        parsed.extract(),
+        this.dependencies.newId(),
+      );
     }
-    const call = read.unsafeCoerce();
+    const call = parsed.unsafeCoerce();
     const {requestId} = call.context;
-    const admitted = await requestContext.admit(this.parts, call.context);
+    const admitted = await requestContext.admit(
+      this.dependencies,
+      call.context,
+    );
     if (admitted.isLeft()) {
       return this.reply(h, call, purify.Left(admitted.extract()));
     }
     const release = admitted.unsafeCoerce();
     try {
       const answer = !this.mayStart(call)
-        ? this.refuseLate()
+        ? this.refuseChangedConfiguration()
         : call.isIdempotent
           ? await this.runIdempotent(call)
           : await this.runOnce(call);
       return this.reply(h, call, answer);
     } catch (error) {
       // A defect here must not say `not_run` of a call that may have run.
-      this.parts.logger.error('service call failed', {requestId, error});
+      this.dependencies.logger.error('service call failed', {requestId, error});
       const message = 'internal error';
       return this.reply(
         h,
@@ -92,8 +101,8 @@
    * changed, or this instance may have lost touch with the configuration.
    */
   private mayStart({context, service}: ServiceRequest): boolean {
-    const workspace = this.parts
-      .inForce()
+    const workspace = this.dependencies
+      .activeConfiguration()
       ?.document.workspaces.find(
         found => found.name === context.workspace.name,
       );
@@ -103,66 +112,68 @@
     );
   }
 
-  private refuseLate(): Answer {
+  private refuseChangedConfiguration(): Answer {
     return purify.Left({
       code: 'not_ready',
       ran: 'not_run',
       message: 'the configuration changed while the call waited',
-      retryAfterMs: ASK_AGAIN_MS,
+      retryAfterMs: RETRY_AFTER_MS,
     });
   }
 
-  private read(
+  private parse(
     request: hapi.Request,
   ): purify.Either<apiError.ApiError, ServiceRequest> {
-    const {parts} = this;
-    return requestContext.createContext(parts, request).chain(context => {
-      const {service: name, path = ''} = request.params as unknown as {
-        service: string;
-        path?: string;
-      };
-      const {document} = context.inForce;
-      const service = document.services.find(found => found.name === name);
-      const isAllowed = configuration.isServiceAllowed(
-        context.workspace.allowed,
-        name,
-      );
-      if (!service || !isAllowed) {
-        return refuse('service_not_found', `no service ${name} here`);
-      }
-      const method = request.method.toUpperCase();
-      const isIdempotent = service.idempotentMethods.includes(method);
-      const key = requestContext.readHeader(request, 'idempotency-key');
-      if (!isIdempotent && key === undefined) {
-        return refuse(
-          'idempotency_key_required',
-          `${method} of ${name} runs at most once: send an Idempotency-Key`,
+    const {dependencies} = this;
+    return requestContext
+      .createContext(dependencies, request)
+      .chain(context => {
+        const {service: name, path = ''} = request.params as unknown as {
+          service: string;
+          path?: string;
+        };
+        const {document} = context.activeConfiguration;
+        const service = document.services.find(found => found.name === name);
+        const isAllowed = configuration.isServiceAllowed(
+          context.workspace.allowed,
+          name,
         );
-      }
-      if (key !== undefined && key.length > MAX_KEY_LENGTH) {
-        return refuse(
-          'invalid_request',
-          `an Idempotency-Key has at most ${MAX_KEY_LENGTH} characters`,
-        );
-      }
-      const contentType = requestContext.readHeader(request, 'content-type');
-      return purify.Right({
-        context,
-        service,
-        isIdempotent,
-        identity: ledger.identifyRequest(
-          context.workspace.name,
-          key,
-          context.requestId,
-        ),
-        method,
-        path: `/${path}${request.url.search}`,
-        body: Buffer.isBuffer(request.payload)
-          ? request.payload
-          : Buffer.alloc(0),
-        ...(contentType === undefined ? {} : {contentType}),
+        if (!service || !isAllowed) {
+          return refuse('service_not_found', `no service ${name} here`);
+        }
+        const method = request.method.toUpperCase();
+        const isIdempotent = service.idempotentMethods.includes(method);
+        const key = requestContext.readHeader(request, 'idempotency-key');
+        if (!isIdempotent && key === undefined) {
+          return refuse(
+            'idempotency_key_required',
+            `${method} of ${name} runs at most once: send an Idempotency-Key`,
+          );
+        }
+        if (key !== undefined && key.length > MAX_KEY_LENGTH) {
+          return refuse(
+            'invalid_request',
+            `an Idempotency-Key has at most ${MAX_KEY_LENGTH} characters`,
+          );
+        }
+        const contentType = requestContext.readHeader(request, 'content-type');
+        return purify.Right({
+          context,
+          service,
+          isIdempotent,
+          identity: ledger.identifyRequest(
+            context.workspace.name,
+            key,
+            context.requestId,
+          ),
+          method,
+          path: `/${path}${request.url.search}`,
+          body: Buffer.isBuffer(request.payload)
+            ? request.payload
+            : Buffer.alloc(0),
+          ...(contentType === undefined ? {} : {contentType}),
+        });
       });
-    });
   }
 
   private async runIdempotent(call: ServiceRequest): Promise<Answer> {
@@ -174,7 +185,7 @@
   }
 
   private async runOnce(call: ServiceRequest): Promise<Answer> {
-    const {parts} = this;
+    const {dependencies} = this;
     const accepted = this.checkBills();
     if (accepted.isLeft()) {
       return accepted;
@@ -185,13 +196,13 @@
       call.path,
       call.body.toString('base64'),
     );
-    const claimed = await parts.claims.claim(call.identity, fingerprint);
-    this.noteClaim(call, claimed);
+    const claimed = await dependencies.claims.claim(call.identity, fingerprint);
+    this.recordClaim(call, claimed);
     switch (claimed.kind) {
       case 'granted':
         return this.runClaimed(call, claimed.claim);
       case 'already':
-        return this.repeat(claimed.outcome);
+        return this.replay(claimed.outcome);
       case 'mismatch':
         return refuse(
           'idempotency_key_reused',
@@ -211,7 +222,7 @@
     call: ServiceRequest,
     claim: ledger.Claim,
   ): Promise<Answer> {
-    const {claims} = this.parts;
+    const {claims} = this.dependencies;
     const answer = await this.send(call);
     if (answer.isLeft()) {
       const failure = answer.extract();
@@ -232,13 +243,13 @@
     return billed;
   }
 
-  private repeat(outcome: ledger.ClaimOutcome | undefined): Answer {
+  private replay(outcome: ledger.ClaimOutcome | undefined): Answer {
     if (outcome === undefined) {
       return purify.Left({
         code: 'outcome_unknown',
         ran: 'unknown',
         message: 'an earlier attempt under this key has no recorded answer',
-        retryAfterMs: ASK_AGAIN_MS,
+        retryAfterMs: RETRY_AFTER_MS,
       });
     }
     if (outcome.kind === 'digest') {
@@ -254,19 +265,19 @@
   }
 
   private async send(call: ServiceRequest): Promise<Answer> {
-    const {parts} = this;
-    const placement = parts.placeService(call.service.name);
+    const {dependencies} = this;
+    const placement = dependencies.placeService(call.service.name);
     if (!placement) {
       return purify.Left({
         code: 'no_upstream',
         ran: 'not_run',
         message: `no upstream of ${call.service.name} may take the call`,
-        retryAfterMs: ASK_AGAIN_MS,
+        retryAfterMs: RETRY_AFTER_MS,
       });
     }
     const {requestId} = call.context;
     const {upstream} = placement;
-    parts.events.record('stage_started', {
+    dependencies.events.record('stage_started', {
       request: requestId,
       upstream,
       detail: `${call.method} ${call.service.name}`,
@@ -276,7 +287,7 @@
     const signal = call.isIdempotent
       ? call.context.signal
       : new AbortController().signal;
-    const answer = await parts.callService(
+    const answer = await dependencies.callService(
       {
         address: placement.address,
         method: call.method,
@@ -291,7 +302,7 @@
     );
     placement.settle(answer.isRight() ? 'finished' : 'failed');
     answer.ifLeft(failure =>
-      parts.events.record('upstream_failed', {
+      dependencies.events.record('upstream_failed', {
         request: requestId,
         upstream,
         detail: `${failure.code} ${failure.ran}`,
@@ -301,7 +312,7 @@
   }
 
   private checkBills(): purify.Either<apiError.ApiError, true> {
-    return this.parts.bills.mayAccept().mapLeft(refusal => ({
+    return this.dependencies.bills.mayAccept().mapLeft(refusal => ({
       code: 'platform_out',
       ran: 'not_run',
       message: 'bills cannot be kept safe now',
@@ -316,32 +327,32 @@
     if (answer.isLeft()) {
       return answer;
     }
-    const {parts} = this;
+    const {dependencies} = this;
     const workspace = call.context.workspace.name;
-    const safe = await parts.bills.record({
+    const recorded = await dependencies.bills.record({
       identity: call.identity.name,
       workspace,
       model: call.service.name,
       version: '',
       cost: call.service.costPerCall,
       tokens: 0,
-      atWallMs: parts.clock.wallTime(),
+      atWallMs: dependencies.clock.wallTime(),
     });
     const subject = {request: call.context.requestId, workspace};
-    if (safe === 'at_risk') {
+    if (recorded === 'at_risk') {
       return purify.Left({
         code: 'outcome_unknown',
         ran: 'ran',
         message: 'it ran; its bill could not be kept safe yet',
-        retryAfterMs: ASK_AGAIN_MS,
+        retryAfterMs: RETRY_AFTER_MS,
       });
     }
-    parts.events.record('bill_recorded', {...subject, detail: safe});
-    parts.metrics.cost.inc({workspace}, call.service.costPerCall);
+    dependencies.events.record('bill_recorded', {...subject, detail: recorded});
+    dependencies.metrics.cost.inc({workspace}, call.service.costPerCall);
     return answer;
   }
 
-  private noteClaim(call: ServiceRequest, claimed: ledger.ClaimResult): void {
+  private recordClaim(call: ServiceRequest, claimed: ledger.ClaimResult): void {
     const subject = {
       request: call.context.requestId,
       workspace: call.context.workspace.name,
@@ -349,14 +360,14 @@
     };
     switch (claimed.kind) {
       case 'granted':
-        this.parts.events.record('claim_granted', subject);
+        this.dependencies.events.record('claim_granted', subject);
         break;
       case 'already':
       case 'mismatch':
-        this.parts.events.record('claim_repeated', subject);
+        this.dependencies.events.record('claim_repeated', subject);
         break;
       case 'refused':
-        this.parts.events.record('claim_refused', subject);
+        this.dependencies.events.record('claim_refused', subject);
         break;
     }
   }
@@ -371,17 +382,20 @@
       Left: error => error.code,
       Right: () => 'answered',
     });
-    this.parts.metrics.requests.inc({workspace: workspace.name, outcome});
+    this.dependencies.metrics.requests.inc({
+      workspace: workspace.name,
+      outcome,
+    });
     return answer.caseOf({
       Left: error => {
-        this.parts.events.record(
+        this.dependencies.events.record(
           error.ran === 'not_run' ? 'request_refused' : 'answer_unknown',
           {request: requestId, workspace: workspace.name, detail: error.code},
         );
         return requestContext.replyError(h, error, requestId);
       },
       Right: found => {
-        this.parts.events.record('answer_given', {
+        this.dependencies.events.record('answer_given', {
           request: requestId,
           workspace: workspace.name,
           detail: call.service.name,
--- a/packages/entry/src/session-token.ts
+++ b/packages/entry/src/session-token.ts
@@ -19,10 +19,10 @@
 }
 
 /** Why a token is refused. */
-export type SessionProblem = 'malformed' | 'expired' | 'other_workspace';
+export type SessionTokenError = 'malformed' | 'expired' | 'other_workspace';
 
 /** Life of a token in seconds: a working day and the night after it. */
-export const DEFAULT_TOKEN_SECONDS = 24 * 60 * 60;
+export const DEFAULT_TOKEN_LIFETIME_S = 24 * 60 * 60;
 
 const ALGORITHM = 'HS256';
 
@@ -40,12 +40,12 @@
 export const signSession = (
   session: Session,
   key: crypto.KeyObject,
-  seconds = DEFAULT_TOKEN_SECONDS,
+  lifetimeS = DEFAULT_TOKEN_LIFETIME_S,
 ): string =>
   jsonwebtoken.default.sign(
     {ws: session.workspace, sid: session.id, pins: session.pins},
     key,
-    {algorithm: ALGORITHM, expiresIn: seconds},
+    {algorithm: ALGORITHM, expiresIn: lifetimeS},
   );
 
 /**
@@ -56,13 +56,13 @@
   token: string,
   key: crypto.KeyObject,
   workspace: string,
-  seconds = DEFAULT_TOKEN_SECONDS,
-): purify.Either<SessionProblem, Session> => {
+  lifetimeS = DEFAULT_TOKEN_LIFETIME_S,
+): purify.Either<SessionTokenError, Session> => {
   try {
     const claims = CLAIMS.parse(
       jsonwebtoken.default.verify(token, key, {
         algorithms: [ALGORITHM],
-        maxAge: seconds,
+        maxAge: lifetimeS,
       }),
     );
     if (claims.ws !== workspace) {
--- a/packages/entry/src/upstream-directory.ts
+++ b/packages/entry/src/upstream-directory.ts
@@ -14,7 +14,7 @@
   readonly inFlight: number;
   readonly slots: number;
   /** How it warms up, where it tells. */
-  readonly warmth?: {
+  readonly warmUp?: {
     readonly coldSlots: number;
     readonly warmMs: number;
     /** Time since it turned cold, in milliseconds. */
@@ -27,7 +27,7 @@
   readonly placement: decisions.Placement;
   readonly clock: ports.Clock;
   /** Zones that a request must not use, drawn anew for each. */
-  readonly drawClosedZones: () => ReadonlySet<string>;
+  readonly sampleClosedZones: () => ReadonlySet<string>;
   /** Zones that operators have taken out; never used. */
   readonly excludedZones: () => ReadonlySet<string>;
   /** Whether one more request fits an upstream that may be cold. */
@@ -101,11 +101,11 @@
 
   /** Chooses an upstream and notes the start of an attempt. */
   place(request: UpstreamRequest): upstreams.Placement | undefined {
-    const {placement, clock, excludedZones, drawClosedZones} = this.options;
+    const {placement, clock, excludedZones, sampleClosedZones} = this.options;
     const started = clock.now();
     // Where only zones still ramping up could take it, they do: the ramp
     // spares caches, and must not refuse a request.
-    const ramped = this.choose(request, drawClosedZones());
+    const ramped = this.choose(request, sampleClosedZones());
     const outcome =
       ramped.kind === 'placed' ? ramped : this.choose(request, excludedZones());
     if (outcome.kind === 'unplaced') {
@@ -113,14 +113,14 @@
     }
     const id = outcome.upstreamId;
     placement.start(id, started);
-    let firstMs: number | undefined;
+    let firstByteMs: number | undefined;
     return {
       upstream: id,
       address: this.listed.get(id)?.address ?? '',
-      recordFirstToken: () => (firstMs ??= clock.now() - started),
+      recordFirstToken: () => (firstByteMs ??= clock.now() - started),
       settle: end => {
         const now = clock.now();
-        const latencyMs = firstMs ?? now - started;
+        const latencyMs = firstByteMs ?? now - started;
         placement.finish(id, ANSWER_BY_OUTCOME[end], latencyMs, now);
       },
     };
--- a/packages/entry/src/warm-up-desk.ts
+++ b/packages/entry/src/warm-up-limiter.ts
@@ -9,7 +9,7 @@
 import type * as upstreamDirectory from './upstream-directory.js';
 
 /** What the desk works with. */
-export interface WarmUpDeskOptions {
+export interface WarmUpLimiterOptions {
   readonly self: string;
   readonly clock: ports.Clock;
   /** Ids of instances that take lasting work, this one included. */
@@ -28,7 +28,7 @@
 }
 
 /** Time between two requests for slots; a third of a grant's term. */
-export const ASK_INTERVAL_MS = 300;
+export const GRANT_REQUEST_INTERVAL_MS = 300;
 
 /** A report this much younger than the issuer's tells of a new cold start. */
 const RESTART_MARGIN_MS = 1_000;
@@ -40,22 +40,22 @@
   warmMs: 60_000,
 };
 
-interface Cold {
+interface ColdUpstream {
   readonly curve: decisions.WarmUpCurve;
   readonly sinceMs: number;
   readonly grant?: decisions.HeldGrant;
 }
 
 /** Grants for upstreams in cold start. */
-export class WarmUpDesk {
-  private readonly cold = new Map<string, Cold>();
+export class WarmUpLimiter {
+  private readonly cold = new Map<string, ColdUpstream>();
   private readonly issuers = new Map<string, decisions.WarmUpIssuer>();
   private readonly timing: decisions.WarmUpTiming;
   private readonly startedAtMs: number;
   private view = '';
   private viewSinceMs: number;
 
-  constructor(private readonly options: WarmUpDeskOptions) {
+  constructor(private readonly options: WarmUpLimiterOptions) {
     this.timing = options.timing ?? decisions.WARM_UP_TIMING;
     this.startedAtMs = options.clock.now();
     this.viewSinceMs = this.startedAtMs;
@@ -63,13 +63,13 @@
 
   /** Takes in a report; an upstream that tells no warmth counts as warm. */
   applyReport(id: string, report: upstreamDirectory.LoadReport): void {
-    const {warmth, slots} = report;
-    if (!warmth || warmth.ageMs >= warmth.warmMs) {
+    const {warmUp, slots} = report;
+    if (!warmUp || warmUp.ageMs >= warmUp.warmMs) {
       this.cold.delete(id);
       this.issuers.delete(id);
       return;
     }
-    const {coldSlots, warmMs, ageMs} = warmth;
+    const {coldSlots, warmMs, ageMs} = warmUp;
     const before = this.cold.get(id);
     if (!before) {
       this.options.notifyCold(id);
@@ -86,7 +86,7 @@
    * without warning; every further request would add to what makes it fall
    * over, so that nothing starts until its next report, or on a first grant.
    */
-  noteRefusal(id: string): void {
+  recordRefusal(id: string): void {
     if (!this.cold.has(id)) {
       this.options.notifyCold(id);
       const sinceMs = this.options.clock.now();
@@ -105,10 +105,10 @@
   }
 
   /** Asks for slots of every cold upstream. */
-  async askForGrants(): Promise<void> {
-    this.noteView();
+  async requestGrants(): Promise<void> {
+    this.updateView();
     await Promise.all(
-      [...this.cold].map(([id, cold]) => this.askForGrant(id, cold)),
+      [...this.cold].map(([id, cold]) => this.requestGrant(id, cold)),
     );
   }
 
@@ -162,7 +162,7 @@
       : decisions.createSuccessorIssuer(coldSinceMs, now, this.timing);
   }
 
-  private noteView(): void {
+  private updateView(): void {
     const view = [...this.options.instances()].sort().join(' ');
     if (view !== this.view) {
       this.view = view;
@@ -171,7 +171,7 @@
     }
   }
 
-  private async askForGrant(id: string, cold: Cold): Promise<void> {
+  private async requestGrant(id: string, cold: ColdUpstream): Promise<void> {
     const {self, clock, instances, inFlight, ask} = this.options;
     const ids = instances();
     if (!decisions.mayRequestGrants(id, self, ids, cold.curve)) {
--- a/packages/ledger/src/bills.ts
+++ b/packages/ledger/src/bill-ledger.ts
@@ -8,7 +8,7 @@
 import * as billLimits from './bill-limits.js';
 import * as billTypes from './bill.js';
 import * as copyQueue from './copy-queue.js';
-import type * as outageGate from './outage-gate.js';
+import type * as circuitBreaker from './circuit-breaker.js';
 import * as writeLane from './write-lane.js';
 
 /**
@@ -22,7 +22,7 @@
 export type RecordResult = 'copied' | 'written' | 'at_risk';
 
 /** What a keeper of bills works with. */
-export interface BillKeeperOptions {
+export interface BillLedgerOptions {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
   /** Uniform in [0, 1), for jitter. */
@@ -35,7 +35,7 @@
 }
 
 /** Share of the flush interval between writes while a backlog is drained. */
-const DRAIN_PACE = 0.75;
+const DRAIN_INTERVAL_FRACTION = 0.75;
 
 /** Time between rounds that try to make bills safe, in milliseconds. */
 const AT_RISK_INTERVAL_MS = 1_000;
@@ -44,22 +44,22 @@
  * Writes tried before one copy has to do. A single refused call is no outage;
  * three in a row are, and waiting longer would only hold up the answer.
  */
-const TRIES_WITH_COPY = 3;
+const MAX_ATTEMPTS_WITH_COPY = 3;
 
 /** Keeps and writes the bills of one instance. */
-export class BillKeeper {
+export class BillLedger {
   private readonly limits: billLimits.BillLimits;
   private readonly lanes: billLanes.BillLanes;
-  private readonly unsafe = new Set<string>();
-  private readonly inRecord = new Map<string, Promise<RecordResult>>();
+  private readonly notDurable = new Set<string>();
+  private readonly recording = new Map<string, Promise<RecordResult>>();
   private readonly copies: copyQueue.CopyQueue;
   private writing: Promise<boolean> | undefined;
-  private platformOut = false;
+  private isPlatformOut = false;
   private wake = new AbortController();
   /** Bills whose answers had to be withheld, for metrics. */
   atRiskCount = 0;
 
-  constructor(private readonly options: BillKeeperOptions) {
+  constructor(private readonly options: BillLedgerOptions) {
     this.limits = {...billLimits.DEFAULT_BILL_LIMITS, ...options.limits};
     this.lanes = new billLanes.BillLanes({
       incarnation: options.incarnation,
@@ -78,7 +78,7 @@
    * Guards against an outage that outlasts the memory for bills, and against
    * answers that no one but this process could bill: both would lose bills.
    */
-  mayAccept(): purify.Either<outageGate.Refusal, true> {
+  mayAccept(): purify.Either<circuitBreaker.Refusal, true> {
     const full = this.lanes.size >= this.limits.maxPending;
     if (!full && !this.isAtRisk()) {
       return purify.Right(true);
@@ -99,17 +99,17 @@
    * identity again joins the first.
    */
   record(bill: billTypes.Bill): Promise<RecordResult> {
-    const earlier = this.inRecord.get(bill.identity);
+    const earlier = this.recording.get(bill.identity);
     if (earlier) {
       return earlier;
     }
-    if (this.lanes.has(bill.identity) && !this.unsafe.has(bill.identity)) {
+    if (this.lanes.has(bill.identity) && !this.notDurable.has(bill.identity)) {
       return Promise.resolve('copied');
     }
-    const result = this.makeSafe(bill).finally(() =>
-      this.inRecord.delete(bill.identity),
+    const result = this.makeDurable(bill).finally(() =>
+      this.recording.delete(bill.identity),
     );
-    this.inRecord.set(bill.identity, result);
+    this.recording.set(bill.identity, result);
     return result;
   }
 
@@ -125,7 +125,7 @@
         return false;
       }
     }
-    await this.release();
+    await this.sendReleases();
     return this.lanes.size === 0;
   }
 
@@ -136,7 +136,7 @@
       const {clock} = this.options;
       await clock.sleep(this.nextIntervalMs(), this.wake.signal);
       this.wake = new AbortController();
-      await this.tick();
+      await this.flushOldest();
     }
   }
 
@@ -156,7 +156,11 @@
       if (!lane.includes(`.${ownerIncarnation}.`)) {
         continue;
       }
-      const written = await writeLane.writeLane(this.writer(), lane, bills);
+      const written = await writeLane.writeLane(
+        this.getWriterOptions(),
+        lane,
+        bills,
+      );
       if (written.isLeft()) {
         return written;
       }
@@ -165,14 +169,14 @@
     return purify.Right(recovered);
   }
 
-  private async makeSafe(bill: billTypes.Bill): Promise<RecordResult> {
+  private async makeDurable(bill: billTypes.Bill): Promise<RecordResult> {
     const {identity} = bill;
     const lane = this.lanes.find(identity);
     const pending = lane ? {lane, bill} : this.lanes.add(bill);
-    this.unsafe.add(identity);
+    this.notDurable.add(identity);
     const copies = await this.copies.copy(pending);
     if (copies >= this.limits.copyQuorum) {
-      this.unsafe.delete(identity);
+      this.notDurable.delete(identity);
       return 'copied';
     }
     return this.writeThrough(identity, copies);
@@ -187,13 +191,13 @@
     copies: number,
   ): Promise<RecordResult> {
     const {clock} = this.options;
-    const deadline = clock.now() + this.limits.safeTimeoutMs;
-    for (let tries = 0; clock.now() < deadline; tries++) {
-      if (copies > 0 && tries >= TRIES_WITH_COPY) {
-        this.unsafe.delete(identity);
+    const deadline = clock.now() + this.limits.durabilityTimeoutMs;
+    for (let attempts = 0; clock.now() < deadline; attempts++) {
+      if (copies > 0 && attempts >= MAX_ATTEMPTS_WITH_COPY) {
+        this.notDurable.delete(identity);
         return 'copied';
       }
-      await clock.sleep(this.limits.gatherMs);
+      await clock.sleep(this.limits.batchDelayMs);
       const lane = this.lanes.find(identity);
       if (lane === undefined || (await this.write(lane))) {
         return 'written';
@@ -222,13 +226,17 @@
 
   private async writeNow(name: string): Promise<boolean> {
     const bills = this.lanes.startWriting(name);
-    const result = await writeLane.writeLane(this.writer(), name, bills);
+    const result = await writeLane.writeLane(
+      this.getWriterOptions(),
+      name,
+      bills,
+    );
     const written = result.orDefault(new Set());
     this.lanes.settle(name, written);
     for (const identity of written) {
-      this.unsafe.delete(identity);
+      this.notDurable.delete(identity);
     }
-    this.platformOut = result.isLeft();
+    this.isPlatformOut = result.isLeft();
     this.writing = undefined;
     if (result.isRight()) {
       this.copies.release(name);
@@ -236,32 +244,32 @@
     return result.isRight();
   }
 
-  private async tick(): Promise<void> {
-    await this.copyAgain();
+  private async flushOldest(): Promise<void> {
+    await this.retryCopies();
     const [oldest] = this.lanes.names();
     if (oldest !== undefined && (await this.write(oldest))) {
-      await this.release();
+      await this.sendReleases();
     }
   }
 
   /** Offers bills that are at risk to peers again. */
-  private async copyAgain(): Promise<void> {
+  private async retryCopies(): Promise<void> {
     if (!this.isAtRisk()) {
       return;
     }
     const bills = this.lanes
       .all()
-      .filter(entry => this.unsafe.has(entry.bill.identity));
+      .filter(entry => this.notDurable.has(entry.bill.identity));
     const copies = await this.copies.send(bills);
     if (copies >= this.limits.copyQuorum) {
       for (const entry of bills) {
-        this.unsafe.delete(entry.bill.identity);
+        this.notDurable.delete(entry.bill.identity);
       }
     }
   }
 
   /** Tells peers which copies can go. */
-  private async release(): Promise<void> {
+  private async sendReleases(): Promise<void> {
     if (this.copies.hasReleases()) {
       await this.copies.send([]);
     }
@@ -269,7 +277,7 @@
 
   /** Whether a bill's only place is this process and stays so. */
   private isAtRisk(): boolean {
-    return [...this.unsafe].some(identity => !this.inRecord.has(identity));
+    return [...this.notDurable].some(identity => !this.recording.has(identity));
   }
 
   /**
@@ -279,14 +287,14 @@
    */
   private nextIntervalMs(): number {
     const {flushIntervalMs} = this.limits;
-    const backlog = !this.platformOut && this.lanes.laneCount > 1;
+    const hasBacklog = !this.isPlatformOut && this.lanes.laneCount > 1;
     const interval = this.isAtRisk()
       ? AT_RISK_INTERVAL_MS
-      : flushIntervalMs * (backlog ? DRAIN_PACE : 1);
+      : flushIntervalMs * (hasBacklog ? DRAIN_INTERVAL_FRACTION : 1);
     return interval * (0.5 + this.options.random());
   }
 
-  private writer(): writeLane.LaneWriterOptions {
+  private getWriterOptions(): writeLane.LaneWriterOptions {
     return {
       store: this.options.store,
       clock: this.options.clock,
--- a/packages/ledger/src/bill-limits.ts
+++ b/packages/ledger/src/bill-limits.ts
@@ -12,9 +12,9 @@
   /** Longest wait for copies, in milliseconds. */
   readonly copyTimeoutMs: number;
   /** Time to gather bills into one write when no peer takes copies. */
-  readonly gatherMs: number;
+  readonly batchDelayMs: number;
   /** Longest time to make one bill safe, in milliseconds. */
-  readonly safeTimeoutMs: number;
+  readonly durabilityTimeoutMs: number;
   /** Time of one call to the object API, in milliseconds. */
   readonly callTimeoutMs: number;
 }
@@ -32,7 +32,7 @@
   maxPending: 50_000,
   copyQuorum: 2,
   copyTimeoutMs: 1_000,
-  gatherMs: 100,
-  safeTimeoutMs: 2_000,
+  batchDelayMs: 100,
+  durabilityTimeoutMs: 2_000,
   callTimeoutMs: 1_000,
 };
--- a/packages/ledger/src/peer-copies.ts
+++ b/packages/ledger/src/bill-replicator.ts
@@ -1,18 +1,18 @@
 /** Copies of this instance's pending bills on peers in other zones. */
 import type * as billTypes from './bill.js';
-import * as chooseReplicas from './choose-replicas.js';
+import * as replicaSelection from './replica-selection.js';
 import type * as copyQueue from './copy-queue.js';
 
 /** What copies to peers work with. */
-export interface PeerCopiesOptions {
+export interface BillReplicatorOptions {
   readonly quorum: number;
   /** Live peers in other zones, the preferred (by rendezvous) first. */
-  readonly candidates: () => readonly chooseReplicas.ReplicaCandidate[];
+  readonly candidates: () => readonly replicaSelection.ReplicaCandidate[];
   /** Sends a batch; whether the peer holds it now. Bounds its own time. */
   readonly send: (peer: string, batch: copyQueue.CopyBatch) => Promise<boolean>;
   /** All bills of this instance that are not in the object API. */
   readonly pending: () => readonly billTypes.PendingBill[];
-  readonly choose?: chooseReplicas.ReplicaChoice;
+  readonly selectReplicas?: replicaSelection.ReplicaSelector;
 }
 
 /** Peers tried for one batch beyond the quorum, so that an answer can end. */
@@ -20,23 +20,23 @@
 
 /**
  * Keeps a set of replicas which hold all pending bills. `copy` is meant as
- * `copyToPeers` of a `BillKeeper`.
+ * `copyToPeers` of a `BillLedger`.
  */
-export class PeerCopies {
+export class BillReplicator {
   private replicas: readonly string[] = [];
-  private last: Promise<unknown> = Promise.resolve();
+  private lastBatch: Promise<unknown> = Promise.resolve();
   /** Bills sent to a peer anew because the set of replicas changed. */
-  recopied = 0;
+  recopiedBills = 0;
 
-  constructor(private readonly options: PeerCopiesOptions) {}
+  constructor(private readonly options: BillReplicatorOptions) {}
 
   /**
    * Sends a batch to all replicas; answers how many hold it now. One batch at
    * a time: two at once could each drop a peer that the other counts on.
    */
-  copy(batch: copyQueue.CopyBatch): Promise<number> {
-    const copied = this.last.then(() => this.copyNow(batch));
-    this.last = copied;
+  replicate(batch: copyQueue.CopyBatch): Promise<number> {
+    const copied = this.lastBatch.then(() => this.replicateNow(batch));
+    this.lastBatch = copied;
     return copied;
   }
 
@@ -46,16 +46,16 @@
    * have shaped the choice made in that moment. It sends nothing when the
    * replicas stay.
    */
-  async changeMembership(incarnation: string): Promise<number> {
+  async refreshReplicas(incarnation: string): Promise<number> {
     const pending = this.options.pending();
     if (pending.length === 0) {
-      this.replicas = this.choose([]);
+      this.replicas = this.selectReplicas([]);
       return this.replicas.length;
     }
-    return this.copy({incarnation, bills: [], writtenLanes: []});
+    return this.replicate({incarnation, bills: [], writtenLanes: []});
   }
 
-  private async copyNow(batch: copyQueue.CopyBatch): Promise<number> {
+  private async replicateNow(batch: copyQueue.CopyBatch): Promise<number> {
     let refused: readonly string[] = [];
     for (let round = 0; round <= MAX_REPLACEMENTS; round++) {
       refused = [...refused, ...(await this.sendToAll(batch, refused))];
@@ -72,7 +72,7 @@
     refused: readonly string[],
   ): Promise<readonly string[]> {
     const before = this.replicas;
-    const wanted = this.choose(refused);
+    const wanted = this.selectReplicas(refused);
     const sent = wanted.map(async peer => {
       const taken = await this.sendTo(peer, batch, before.includes(peer));
       return {peer, taken};
@@ -87,21 +87,21 @@
   private async sendTo(
     peer: string,
     batch: copyQueue.CopyBatch,
-    holdsEarlier: boolean,
+    isCurrent: boolean,
   ): Promise<boolean> {
-    if (holdsEarlier) {
+    if (isCurrent) {
       const empty = batch.bills.length + batch.writtenLanes.length === 0;
       return empty || this.options.send(peer, batch);
     }
     const pending = this.options.pending();
-    this.recopied += pending.length - batch.bills.length;
+    this.recopiedBills += pending.length - batch.bills.length;
     return this.options.send(peer, {...batch, bills: pending});
   }
 
-  private choose(refused: readonly string[]): readonly string[] {
-    const {candidates, quorum, choose} = this.options;
+  private selectReplicas(refused: readonly string[]): readonly string[] {
+    const {candidates, quorum, selectReplicas} = this.options;
     const usable = candidates().filter(peer => !refused.includes(peer.id));
-    const chosen = choose ?? chooseReplicas.chooseLoosely;
+    const chosen = selectReplicas ?? replicaSelection.selectStickyReplicas;
     return chosen(this.replicas, usable, quorum);
   }
 }
--- a/packages/ledger/src/outage-gate.ts
+++ b/packages/ledger/src/circuit-breaker.ts
@@ -2,12 +2,12 @@
 import type * as ports from '@amaranthknot/ports';
 
 /** Bounds of the time between two probes, in milliseconds. */
-export interface OutageGateOptions {
+export interface CircuitBreakerOptions {
   readonly clock: ports.Clock;
   /** Uniform in [0, 1). */
   readonly random: () => number;
   /** Shortest time between probes; the longest is twice it. */
-  readonly probeAfterMs: number;
+  readonly minProbeIntervalMs: number;
 }
 
 /** A refusal that is certain: no part of the request was sent anywhere. */
@@ -26,43 +26,43 @@
  * per instance and window keeps the returning platform's load at a few calls
  * per instance.
  */
-export class OutageGate {
-  private closedUntil: number | undefined;
+export class CircuitBreaker {
+  private openUntil: number | undefined;
 
-  constructor(private readonly options: OutageGateOptions) {}
+  constructor(private readonly options: CircuitBreakerOptions) {}
 
   /** Whether a call may go out now; in an outage only one per window may. */
-  enter(): boolean {
-    if (this.closedUntil === undefined) {
+  allowCall(): boolean {
+    if (this.openUntil === undefined) {
       return true;
     }
-    if (this.options.clock.now() < this.closedUntil) {
+    if (this.options.clock.now() < this.openUntil) {
       return false;
     }
-    this.close();
+    this.trip();
     return true;
   }
 
   /** Notes a call that the platform answered. */
-  succeed(): void {
-    this.closedUntil = undefined;
+  recordSuccess(): void {
+    this.openUntil = undefined;
   }
 
   /** Notes a call that failed for want of the platform. */
-  fail(): void {
-    this.close();
+  recordFailure(): void {
+    this.trip();
   }
 
   /** A refusal that asks callers back after the next probe, spread out. */
-  refuse(): Refusal {
-    const {clock, random, probeAfterMs} = this.options;
-    const left = Math.max(0, (this.closedUntil ?? 0) - clock.now());
-    const spread = probeAfterMs * (1 + random());
-    return {ran: 'not_run', retryAfterMs: Math.ceil(left + spread)};
+  createRefusal(): Refusal {
+    const {clock, random, minProbeIntervalMs} = this.options;
+    const left = Math.max(0, (this.openUntil ?? 0) - clock.now());
+    const jitterMs = minProbeIntervalMs * (1 + random());
+    return {ran: 'not_run', retryAfterMs: Math.ceil(left + jitterMs)};
   }
 
-  private close(): void {
-    const {clock, random, probeAfterMs} = this.options;
-    this.closedUntil = clock.now() + probeAfterMs * (1 + random());
+  private trip(): void {
+    const {clock, random, minProbeIntervalMs} = this.options;
+    this.openUntil = clock.now() + minProbeIntervalMs * (1 + random());
   }
 }
--- a/packages/ledger/src/claim-attempt.ts
+++ b/packages/ledger/src/claim-attempt.ts
@@ -14,7 +14,7 @@
   readonly version: number;
   readonly record: claimRecord.ClaimRecord;
   /** Whether a delayed write may make the claim's object once more. */
-  readonly mayRepeat: boolean;
+  readonly mayReappear: boolean;
 }
 
 /** How an attempt ended; see `ClaimResult`. */
@@ -33,7 +33,7 @@
     };
 
 /** What an attempt works with. */
-export interface AttemptOptions {
+export interface ClaimAttemptOptions {
   readonly objects: claimObjects.ClaimObjects;
   readonly clock: ports.Clock;
   readonly random: () => number;
@@ -50,7 +50,7 @@
 
   /** @param record with an owner token that no other attempt uses */
   constructor(
-    private readonly options: AttemptOptions,
+    private readonly options: ClaimAttemptOptions,
     private readonly identity: requestIdentity.RequestIdentity,
     readonly record: claimRecord.ClaimRecord,
   ) {}
@@ -127,8 +127,14 @@
   }
 
   private grant(version: number): AttemptResult {
-    const {identity, record, mayExist: mayRepeat} = this;
-    const claim = {identity, owner: record.owner, version, record, mayRepeat};
+    const {identity, record, mayExist: mayReappear} = this;
+    const claim = {
+      identity,
+      owner: record.owner,
+      version,
+      record,
+      mayReappear,
+    };
     return {kind: 'granted', claim};
   }
 }
--- a/packages/ledger/src/claims.ts
+++ b/packages/ledger/src/claim-ledger.ts
@@ -8,7 +8,7 @@
 import * as claimLimits from './claim-limits.js';
 import * as claimObjects from './claim-objects.js';
 import * as claimRecord from './claim-record.js';
-import * as outageGate from './outage-gate.js';
+import * as circuitBreaker from './circuit-breaker.js';
 import type * as requestIdentity from './request-identity.js';
 import * as backOff from './util/back-off.js';
 import * as voidTokens from './void-tokens.js';
@@ -25,7 +25,7 @@
  */
 export type ClaimResult =
   | Exclude<claimAttempt.AttemptResult, {kind: 'unsettled'}>
-  | ({readonly kind: 'refused'} & outageGate.Refusal);
+  | ({readonly kind: 'refused'} & circuitBreaker.Refusal);
 
 /** Why a claim could not be finished or abandoned. */
 export interface ClaimError {
@@ -34,10 +34,10 @@
 }
 
 /** What another instance knows of a claim that it made. */
-export type OwnerAnswer = 'void' | 'in_use' | 'no_answer';
+export type OwnerStatus = 'void' | 'in_use' | 'no_answer';
 
 /** What a keeper of claims works with. */
-export interface ClaimKeeperOptions {
+export interface ClaimLedgerOptions {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
   /** Uniform in [0, 1), for jitter. */
@@ -50,32 +50,32 @@
    * Asks the instance that made a claim whether the claim is void. It bounds its own time. Without it
    * a claim whose owner gave up unsettled stays `claimed`.
    */
-  readonly askOwner?: (
+  readonly queryOwner?: (
     incarnation: string,
     owner: string,
-  ) => Promise<OwnerAnswer>;
+  ) => Promise<OwnerStatus>;
   readonly limits?: Partial<claimLimits.ClaimLimits>;
 }
 
 /** Makes, finishes and abandons claims for one instance. */
-export class ClaimKeeper {
+export class ClaimLedger {
   private readonly limits: claimLimits.ClaimLimits;
-  private readonly gate: outageGate.OutageGate;
-  private readonly voids: voidTokens.VoidTokens;
+  private readonly breaker: circuitBreaker.CircuitBreaker;
+  private readonly voidTokens: voidTokens.VoidTokens;
   private readonly objects: claimObjects.ClaimObjects;
   private inProgress = 0;
 
-  constructor(private readonly options: ClaimKeeperOptions) {
+  constructor(private readonly options: ClaimLedgerOptions) {
     this.limits = {...claimLimits.DEFAULT_CLAIM_LIMITS, ...options.limits};
-    this.gate = new outageGate.OutageGate({
+    this.breaker = new circuitBreaker.CircuitBreaker({
       ...options,
-      probeAfterMs: this.limits.probeAfterMs,
+      minProbeIntervalMs: this.limits.minProbeIntervalMs,
     });
     this.objects = new claimObjects.ClaimObjects({
       ...options,
       callTimeoutMs: this.limits.callTimeoutMs,
     });
-    this.voids = new voidTokens.VoidTokens(this.limits.maxVoid);
+    this.voidTokens = new voidTokens.VoidTokens(this.limits.maxVoidTokens);
   }
 
   /**
@@ -88,8 +88,8 @@
     fingerprint: string,
   ): Promise<ClaimResult> {
     const full = this.inProgress >= this.limits.maxInProgress;
-    if (full || !this.gate.enter()) {
-      return {kind: 'refused', ...this.gate.refuse()};
+    if (full || !this.breaker.allowCall()) {
+      return {kind: 'refused', ...this.breaker.createRefusal()};
     }
     this.inProgress++;
     try {
@@ -120,11 +120,11 @@
       if (written.isRight()) {
         return purify.Right(kept);
       }
-      const held = (await this.objects.read(name))?.record;
-      if (held && held.owner !== claim.owner) {
+      const stored = (await this.objects.read(name))?.record;
+      if (stored && stored.owner !== claim.owner) {
         return purify.Left({code: 'not_owner', message: `${name} is taken`});
       }
-      if (held?.state === 'finished') {
+      if (stored?.state === 'finished') {
         return purify.Right(kept);
       }
     }
@@ -134,20 +134,20 @@
   /**
    * Gives a claim up. Only for a request of which certainly no byte was sent.
    * The claim is void from the call on; the object is deleted at once or by
-   * `settleVoid`, and until then the claim can be taken over.
+   * `deleteVoidClaims`, and until then the claim can be taken over.
    */
   async abandon(claim: claimAttempt.Claim): Promise<void> {
     const {name} = claim.identity;
-    this.giveUp(name, claim.owner);
+    this.markVoid(name, claim.owner);
     const deleted = await this.objects.delete(name, claim.version);
-    if (deleted.isRight() && !claim.mayRepeat) {
-      this.voids.forget(claim.owner);
+    if (deleted.isRight() && !claim.mayReappear) {
+      this.voidTokens.forget(claim.owner);
     }
   }
 
   /** Answers another instance's question about a claim made here. */
-  describeOwner(owner: string): OwnerAnswer {
-    return this.voids.has(owner) ? 'void' : 'in_use';
+  getOwnerStatus(owner: string): OwnerStatus {
+    return this.voidTokens.has(owner) ? 'void' : 'in_use';
   }
 
   /**
@@ -155,16 +155,16 @@
    * seconds: a lost create can take effect after its attempt gave up, and
    * even after the attempt's claim was deleted.
    */
-  async settleVoid(limit = 10): Promise<void> {
+  async deleteVoidClaims(limit = 10): Promise<void> {
     const nowMs = this.options.clock.now();
-    for (const owner of this.voids.takeDue(nowMs, limit)) {
-      await this.deleteVoid(owner);
+    for (const owner of this.voidTokens.takeDue(nowMs, limit)) {
+      await this.deleteVoidClaim(owner);
     }
   }
 
   /** Void claims that may still have an object. */
   get voidCount(): number {
-    return this.voids.size;
+    return this.voidTokens.size;
   }
 
   private async attempt(
@@ -184,13 +184,13 @@
     const settled = await attempt.settle();
     // Void before the answer, so that no later read can grant it.
     if (settled.kind !== 'granted' && attempt.mayExist) {
-      this.giveUp(identity.name, attempt.record.owner);
+      this.markVoid(identity.name, attempt.record.owner);
     }
     if (settled.kind !== 'unsettled') {
-      this.gate.succeed();
+      this.breaker.recordSuccess();
       return settled;
     }
-    this.gate.fail();
+    this.breaker.recordFailure();
     return this.refuseUnsettled(settled.seen);
   }
 
@@ -212,26 +212,26 @@
   private refuseUnsettled(seen: boolean): ClaimResult {
     return seen
       ? {kind: 'already', state: 'claimed'}
-      : {kind: 'refused', ...this.gate.refuse()};
+      : {kind: 'refused', ...this.breaker.createRefusal()};
   }
 
-  private giveUp(name: string, owner: string): void {
-    this.voids.add(owner, name, this.options.clock.now());
+  private markVoid(name: string, owner: string): void {
+    this.voidTokens.add(owner, name, this.options.clock.now());
   }
 
   private async isVoid(record: claimRecord.ClaimRecord): Promise<boolean> {
     if (record.incarnation === this.options.incarnation) {
-      return this.voids.has(record.owner);
+      return this.voidTokens.has(record.owner);
     }
-    const {askOwner} = this.options;
-    if (!askOwner) {
+    const {queryOwner} = this.options;
+    if (!queryOwner) {
       return false;
     }
-    return (await askOwner(record.incarnation, record.owner)) === 'void';
+    return (await queryOwner(record.incarnation, record.owner)) === 'void';
   }
 
-  private async deleteVoid(owner: string): Promise<void> {
-    const name = this.voids.nameOf(owner);
+  private async deleteVoidClaim(owner: string): Promise<void> {
+    const name = this.voidTokens.getName(owner);
     if (name === undefined) {
       return;
     }
--- a/packages/ledger/src/claim-limits.ts
+++ b/packages/ledger/src/claim-limits.ts
@@ -15,9 +15,9 @@
   /** Largest answer kept for retries, in bytes of UTF-8. */
   readonly maxOutcomeBytes: number;
   /** Void tokens remembered. */
-  readonly maxVoid: number;
+  readonly maxVoidTokens: number;
   /** Shortest time between probes of a platform that is out. */
-  readonly probeAfterMs: number;
+  readonly minProbeIntervalMs: number;
 }
 
 /**
@@ -33,6 +33,6 @@
   backoffMs: 20,
   maxInProgress: 1_000,
   maxOutcomeBytes: 64 * 1024,
-  maxVoid: 10_000,
-  probeAfterMs: 500,
+  maxVoidTokens: 10_000,
+  minProbeIntervalMs: 500,
 };
--- a/packages/ledger/src/claim-objects.ts
+++ b/packages/ledger/src/claim-objects.ts
@@ -12,7 +12,7 @@
 }
 
 /** A claim as read, with the version to change it by. */
-export interface HeldClaim {
+export interface StoredClaim {
   readonly record: claimRecord.ClaimRecord;
   readonly version: number;
 }
@@ -47,7 +47,7 @@
   }
 
   /** Reads a claim; undefined when absent or when the platform is out. */
-  async read(name: string): Promise<HeldClaim | undefined> {
+  async read(name: string): Promise<StoredClaim | undefined> {
     const found = await this.call(
       this.options.store.get(claimRecord.CLAIM_KIND, name),
     );
--- a/packages/ledger/src/copy-queue.ts
+++ b/packages/ledger/src/copy-queue.ts
@@ -21,7 +21,7 @@
   readonly timeoutMs: number;
 }
 
-interface Waiting {
+interface QueuedBill {
   readonly pending: billTypes.PendingBill;
   readonly resolve: (copies: number) => void;
 }
@@ -31,7 +31,7 @@
  * peak load the messages so grow in place of their number.
  */
 export class CopyQueue {
-  private waiting: Waiting[] = [];
+  private waiting: QueuedBill[] = [];
   private writtenLanes: string[] = [];
   private busy = false;
 
@@ -42,7 +42,7 @@
     return new Promise(resolve => {
       this.waiting.push({pending, resolve});
       if (!this.busy) {
-        void this.work();
+        void this.drain();
       }
     });
   }
@@ -69,7 +69,7 @@
     return copies;
   }
 
-  private async work(): Promise<void> {
+  private async drain(): Promise<void> {
     this.busy = true;
     while (this.waiting.length > 0) {
       const batch = this.waiting;
--- a/packages/ledger/src/copy-holder.ts
+++ b/packages/ledger/src/copy-store.ts
@@ -5,7 +5,7 @@
 import type * as copyQueue from './copy-queue.js';
 
 /** Bounds of the copies held. */
-export interface CopyHolderOptions {
+export interface CopyStoreOptions {
   readonly clock: ports.Clock;
   /** Bills held for all owners; past it new copies are not taken. */
   readonly maxBills?: number;
@@ -16,32 +16,32 @@
  * received strings are not shared. Past it the owner
  * finds another peer, or writes the bill before the end of the answer.
  */
-export const DEFAULT_MAX_HELD_BILLS = 50_000;
+export const DEFAULT_MAX_STORED_BILLS = 50_000;
 
 /**
  * How long an owner may leave copies unreleased before its holder writes them,
  * in milliseconds. It covers a release that was lost, whose copies would stay
  * for ever; recovery is safe while the owner lives.
  */
-export const UNRELEASED_MS = 3_600_000;
+export const MAX_UNRELEASED_MS = 3_600_000;
 
-/** Writes copies of an owner, see `BillKeeper.recover`. */
-export type Recovery = (
+/** Writes copies of an owner, see `BillLedger.recover`. */
+export type BillRecovery = (
   incarnation: string,
   pending: readonly billTypes.PendingBill[],
 ) => Promise<purify.Either<ports.StoreError, number>>;
 
-interface Held {
+interface OwnerCopies {
   readonly bills: Map<string, billTypes.PendingBill>;
-  lastHeardMs: number;
+  lastContactMs: number;
 }
 
 /** Holds copies by owner until they are released or recovered. */
-export class CopyHolder {
-  private readonly owners = new Map<string, Held>();
+export class CopyStore {
+  private readonly owners = new Map<string, OwnerCopies>();
   private count = 0;
 
-  constructor(private readonly options: CopyHolderOptions) {}
+  constructor(private readonly options: CopyStoreOptions) {}
 
   /** Bills held for all owners. */
   get size(): number {
@@ -54,29 +54,29 @@
   }
 
   /** Takes a batch whole or, past the bound, not at all. */
-  hold(batch: copyQueue.CopyBatch): boolean {
+  store(batch: copyQueue.CopyBatch): boolean {
     this.release(batch.incarnation, new Set(batch.writtenLanes));
-    const {maxBills = DEFAULT_MAX_HELD_BILLS} = this.options;
+    const {maxBills = DEFAULT_MAX_STORED_BILLS} = this.options;
     if (this.count + batch.bills.length > maxBills) {
       return false;
     }
-    const held = this.owners.get(batch.incarnation) ?? {
+    const copies = this.owners.get(batch.incarnation) ?? {
       bills: new Map<string, billTypes.PendingBill>(),
-      lastHeardMs: 0,
+      lastContactMs: 0,
     };
-    held.lastHeardMs = this.options.clock.now();
+    copies.lastContactMs = this.options.clock.now();
     for (const pending of batch.bills) {
-      this.count += held.bills.has(pending.bill.identity) ? 0 : 1;
-      held.bills.set(pending.bill.identity, pending);
+      this.count += copies.bills.has(pending.bill.identity) ? 0 : 1;
+      copies.bills.set(pending.bill.identity, pending);
     }
-    if (held.bills.size > 0) {
-      this.owners.set(batch.incarnation, held);
+    if (copies.bills.size > 0) {
+      this.owners.set(batch.incarnation, copies);
     }
     return true;
   }
 
   /** Copies held for an owner. */
-  pendingOf(incarnation: string): readonly billTypes.PendingBill[] {
+  listPending(incarnation: string): readonly billTypes.PendingBill[] {
     return [...(this.owners.get(incarnation)?.bills.values() ?? [])];
   }
 
@@ -89,46 +89,46 @@
    */
   async recoverDead(
     isDead: (incarnation: string) => boolean,
-    recover: Recovery,
+    recover: BillRecovery,
   ): Promise<number> {
     let recovered = 0;
-    for (const [incarnation, held] of [...this.owners]) {
-      if (!isDead(incarnation) && !this.isUnreleased(held)) {
+    for (const [incarnation, copies] of [...this.owners]) {
+      if (!isDead(incarnation) && !this.isUnreleased(copies)) {
         continue;
       }
-      const pending = [...held.bills.values()];
+      const pending = [...copies.bills.values()];
       const result = await recover(incarnation, pending);
       if (result.isLeft()) {
         break;
       }
-      this.forget(incarnation, pending);
+      this.remove(incarnation, pending);
       recovered += pending.length;
     }
     return recovered;
   }
 
   /** Bills that came while a recovery ran stay. */
-  private forget(
+  private remove(
     incarnation: string,
     recovered: readonly billTypes.PendingBill[],
   ): void {
-    const held = this.owners.get(incarnation);
+    const copies = this.owners.get(incarnation);
     for (const {bill} of recovered) {
-      this.count -= held?.bills.delete(bill.identity) ? 1 : 0;
+      this.count -= copies?.bills.delete(bill.identity) ? 1 : 0;
     }
-    if (held?.bills.size === 0) {
+    if (copies?.bills.size === 0) {
       this.owners.delete(incarnation);
     }
   }
 
   private release(incarnation: string, lanes: ReadonlySet<string>): void {
-    const written = this.pendingOf(incarnation).filter(pending =>
+    const written = this.listPending(incarnation).filter(pending =>
       lanes.has(pending.lane),
     );
-    this.forget(incarnation, written);
+    this.remove(incarnation, written);
   }
 
-  private isUnreleased(held: Held): boolean {
-    return this.options.clock.now() - held.lastHeardMs >= UNRELEASED_MS;
+  private isUnreleased(copies: OwnerCopies): boolean {
+    return this.options.clock.now() - copies.lastContactMs >= MAX_UNRELEASED_MS;
   }
 }
--- a/packages/ledger/src/drain-ledger.ts
+++ b/packages/ledger/src/drain-ledger.ts
@@ -1,20 +1,20 @@
 /** The ledger's part of a graceful shutdown. */
 import type * as ports from '@amaranthknot/ports';
-import type * as bills from './bills.js';
-import type * as copyHolder from './copy-holder.js';
+import type * as billLedger from './bill-ledger.js';
+import type * as copyStore from './copy-store.js';
 
 /** What a shutdown of the ledger works with. */
-export interface DrainOptions {
+export interface DrainLedgerOptions {
   readonly clock: ports.Clock;
   readonly random: () => number;
-  readonly bills: bills.BillKeeper;
-  readonly holder: copyHolder.CopyHolder;
+  readonly bills: billLedger.BillLedger;
+  readonly holder: copyStore.CopyStore;
   /** Longest time for it, in milliseconds. */
   readonly timeoutMs: number;
 }
 
 /** Mean wait before another try while the platform is out. */
-const RETRY_MS = 1_000;
+const RETRY_INTERVAL_MS = 1_000;
 
 /**
  * Writes this instance's bills and those it holds for peers; call it after the
@@ -25,7 +25,9 @@
  * @returns whether nothing is left. If not, the platform is out, and peers
  *   recover what this instance leaves as after a failure.
  */
-export const drainLedger = async (options: DrainOptions): Promise<boolean> => {
+export const drainLedger = async (
+  options: DrainLedgerOptions,
+): Promise<boolean> => {
   const {clock, holder, timeoutMs} = options;
   const deadline = clock.now() + timeoutMs;
   for (;;) {
@@ -40,6 +42,6 @@
     if (clock.now() >= deadline) {
       return false;
     }
-    await clock.sleep(RETRY_MS * (0.5 + options.random()));
+    await clock.sleep(RETRY_INTERVAL_MS * (0.5 + options.random()));
   }
 };
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -1,17 +1,17 @@
 /** Request identity, claims and bills. */
 export * from './bill-limits.js';
 export * from './bill.js';
-export * from './bills.js';
-export * from './choose-replicas.js';
+export * from './bill-ledger.js';
+export * from './replica-selection.js';
 export type {Claim} from './claim-attempt.js';
 export * from './claim-limits.js';
 export * from './claim-record.js';
-export * from './claims.js';
-export * from './copy-holder.js';
+export * from './claim-ledger.js';
+export * from './copy-store.js';
 export * from './copy-queue.js';
 export * from './drain-ledger.js';
-export * from './outage-gate.js';
-export * from './peer-copies.js';
+export * from './circuit-breaker.js';
+export * from './bill-replicator.js';
 export * from './read-bills.js';
 export * from './request-identity.js';
 export * from './write-lane.js';
--- a/packages/ledger/src/choose-replicas.ts
+++ b/packages/ledger/src/replica-selection.ts
@@ -14,7 +14,7 @@
  * @param candidates live peers in other zones, the preferred first
  * @param quorum number of replicas wanted
  */
-export type ReplicaChoice = (
+export type ReplicaSelector = (
   current: readonly string[],
   candidates: readonly ReplicaCandidate[],
   quorum: number,
@@ -65,7 +65,11 @@
  * Replicas that share a zone do not count as a quorum once another zone is
  * there: they were chosen while that zone was away, and would be lost at once.
  */
-export const chooseLoosely: ReplicaChoice = (current, candidates, quorum) => {
+export const selectStickyReplicas: ReplicaSelector = (
+  current,
+  candidates,
+  quorum,
+) => {
   const live = candidates.filter(peer => current.includes(peer.id));
   const zones = Math.min(quorum, countZones(candidates));
   const kept = countZones(live) < zones ? takeOnePerZone(live) : live;
@@ -73,5 +77,8 @@
 };
 
 /** Follows the ranking at each change: the baseline of bench `copies`. */
-export const chooseTightly: ReplicaChoice = (_current, candidates, quorum) =>
-  fillQuorum([], candidates, quorum);
+export const selectRankedReplicas: ReplicaSelector = (
+  _current,
+  candidates,
+  quorum,
+) => fillQuorum([], candidates, quorum);
--- a/packages/ledger/src/void-tokens.ts
+++ b/packages/ledger/src/void-tokens.ts
@@ -7,7 +7,7 @@
 const VOID_RETENTION_MS = 600_000;
 
 /** Time to the first look for a void token's claim, in milliseconds. */
-const FIRST_CHECK_MS = 1_000;
+const INITIAL_CHECK_DELAY_MS = 1_000;
 
 interface VoidToken {
   readonly name: string;
@@ -33,12 +33,12 @@
   }
 
   /** Name of the object that the token's claim would have. */
-  nameOf(owner: string): string | undefined {
+  getName(owner: string): string | undefined {
     return this.tokens.get(owner)?.name;
   }
 
   add(owner: string, name: string, nowMs: number): void {
-    const checkAtMs = nowMs + FIRST_CHECK_MS;
+    const checkAtMs = nowMs + INITIAL_CHECK_DELAY_MS;
     this.tokens.set(owner, {name, sinceMs: nowMs, checkAtMs});
     for (const oldest of this.tokens.keys()) {
       if (this.tokens.size <= this.maxSize) {
@@ -54,12 +54,13 @@
    * delayed write is likely.
    */
   takeDue(nowMs: number, limit: number): readonly string[] {
-    this.forgetOld(nowMs);
+    this.expire(nowMs);
     const due = [...this.tokens]
       .filter(([, token]) => token.checkAtMs <= nowMs)
       .slice(0, limit);
     for (const [, token] of due) {
-      token.checkAtMs = nowMs + Math.max(FIRST_CHECK_MS, nowMs - token.sinceMs);
+      token.checkAtMs =
+        nowMs + Math.max(INITIAL_CHECK_DELAY_MS, nowMs - token.sinceMs);
     }
     return due.map(([owner]) => owner);
   }
@@ -68,7 +69,7 @@
     this.tokens.delete(owner);
   }
 
-  private forgetOld(nowMs: number): void {
+  private expire(nowMs: number): void {
     for (const [owner, token] of this.tokens) {
       if (nowMs - token.sinceMs >= VOID_RETENTION_MS) {
         this.tokens.delete(owner);
--- a/packages/ledger/src/write-lane.ts
+++ b/packages/ledger/src/write-lane.ts
@@ -41,17 +41,17 @@
   const written = new Set<string>();
   let index = 0;
   for (let call = 0; call < MAX_CALLS; call++) {
-    const left = bills.filter(bill => !written.has(bill.identity));
-    if (left.length === 0) {
+    const remaining = bills.filter(bill => !written.has(bill.identity));
+    if (remaining.length === 0) {
       return purify.Right(written);
     }
-    const part = left.slice(0, options.maxSegmentBills);
+    const batch = remaining.slice(0, options.maxSegmentBills);
     const name = billTypes.nameSegment(lane, index);
-    const held = await createOrRead(options, name, part);
-    if (held.isLeft()) {
-      return held;
+    const segmentBills = await createOrRead(options, name, batch);
+    if (segmentBills.isLeft()) {
+      return segmentBills;
     }
-    for (const bill of held.orDefault([])) {
+    for (const bill of segmentBills.orDefault([])) {
       written.add(bill.identity);
     }
     index++;
@@ -88,9 +88,9 @@
     store.get(billTypes.BILL_KIND, name),
   );
   return found.chain(object => {
-    const held = billTypes.readBillSegment(object.value);
-    return held
-      ? purify.Right(held.bills)
+    const existing = billTypes.readBillSegment(object.value);
+    return existing
+      ? purify.Right(existing.bills)
       : purify.Left({code: 'unavailable', message: `${name} is no segment`});
   });
 };
--- a/packages/ledger/tests/bills.test.ts
+++ b/packages/ledger/tests/bill-ledger.test.ts
@@ -18,71 +18,82 @@
 };
 
 const recordAll = (
-  world: fixtures.World,
-  keeper: ledger.BillKeeper,
+  fixture: fixtures.Fixture,
+  billLedger: ledger.BillLedger,
   bills: readonly ledger.Bill[],
 ): Promise<readonly ledger.RecordResult[]> =>
-  fixtures.settle(world, Promise.all(bills.map(bill => keeper.record(bill))));
+  fixtures.settle(
+    fixture,
+    Promise.all(bills.map(bill => billLedger.record(bill))),
+  );
 
-describe('BillKeeper', () => {
+describe('BillLedger', () => {
   it('writes nothing before the flush when peers hold copies', async () => {
-    const world = fixtures.createWorld();
-    const keeper = fixtures.createBillKeeper(world);
-    const results = await recordAll(world, keeper, fixtures.createBills(3));
+    const fixture = fixtures.createFixture();
+    const billLedger = fixtures.createBillLedger(fixture);
+    const results = await recordAll(
+      fixture,
+      billLedger,
+      fixtures.createBills(3),
+    );
     expect(results).to.deep.equal(['copied', 'copied', 'copied']);
-    expect(world.store.calls.create).to.equal(0);
-    expect(await fixtures.settle(world, keeper.flush())).to.equal(true);
-    expect(world.store.calls.create).to.equal(1);
+    expect(fixture.store.calls.create).to.equal(0);
+    expect(await fixtures.settle(fixture, billLedger.flush())).to.equal(true);
+    expect(fixture.store.calls.create).to.equal(1);
   });
 
   // An instance without peers answers and is killed before its next segment:
   // the caller has the answer, and no one else has the bill.
   it('writes before the answer ends when too few peers hold it', async () => {
-    const world = fixtures.createWorld();
-    const keeper = fixtures.createBillKeeper(world, {
+    const fixture = fixtures.createFixture();
+    const billLedger = fixtures.createBillLedger(fixture, {
       copyToPeers: () => Promise.resolve(0),
     });
     const bills = fixtures.createBills(2);
-    expect(await recordAll(world, keeper, bills)).to.deep.equal([
+    expect(await recordAll(fixture, billLedger, bills)).to.deep.equal([
       'written',
       'written',
     ]);
-    const billed = await fixtures.listBilled(world);
+    const billed = await fixtures.listBilled(fixture);
     expect(billed).to.deep.equal(identitiesOf(bills));
-    expect(world.store.calls.create).to.equal(1);
+    expect(fixture.store.calls.create).to.equal(1);
   });
 
   // Neither peers nor platform: an answer ended now could lose its bill with
   // this instance. It is withheld, and new requests are refused until one of
   // the two is back.
   it('withholds an answer that only it could bill', async () => {
-    const world = fixtures.createWorld();
+    const fixture = fixtures.createFixture();
     let copies = 0;
-    const keeper = fixtures.createBillKeeper(world, {
+    const billLedger = fixtures.createBillLedger(fixture, {
       copyToPeers: () => Promise.resolve(copies),
     });
-    world.store.fault = () => 'down';
+    fixture.store.fault = () => 'down';
     const stop = new AbortController();
-    void keeper.run(stop.signal);
+    void billLedger.run(stop.signal);
     const [bill] = fixtures.createBills(1);
-    expect(await recordAll(world, keeper, [bill!])).to.deep.equal(['at_risk']);
-    const refusal = keeper.mayAccept().swap().extract();
+    expect(await recordAll(fixture, billLedger, [bill!])).to.deep.equal([
+      'at_risk',
+    ]);
+    const refusal = billLedger.mayAccept().swap().extract();
     expect(refusal).to.include({ran: 'not_run'});
     copies = 2;
-    await world.clock.advance(5_000);
-    expect(keeper.mayAccept().isRight()).to.equal(true);
+    await fixture.clock.advance(5_000);
+    expect(billLedger.mayAccept().isRight()).to.equal(true);
     stop.abort();
   });
 
   it('refuses new requests past the bound of pending bills', async () => {
-    const world = fixtures.createWorld();
-    const keeper = fixtures.createBillKeeper(world, {limits: {maxPending: 2}});
-    await recordAll(world, keeper, fixtures.createBills(1));
-    expect(keeper.mayAccept().isRight()).to.equal(true);
-    await recordAll(world, keeper, fixtures.createBills(2));
-    expect(keeper.mayAccept().isLeft()).to.equal(true);
-    await fixtures.settle(world, keeper.flush());
-    expect(keeper.mayAccept().isRight()).to.equal(true);
+    const fixture = fixtures.createFixture();
+    const billLedger = fixtures.createBillLedger(fixture, {
+      limits: {maxPending: 2},
+    });
+    await recordAll(fixture, billLedger, fixtures.createBills(1));
+    expect(billLedger.mayAccept().isRight()).to.equal(true);
+    await recordAll(fixture, billLedger, fixtures.createBills(2));
+    expect(billLedger.mayAccept().isLeft()).to.equal(true);
+    await fixtures.settle(fixture, billLedger.flush());
+    expect(billLedger.mayAccept().isRight()).to.equal(true);
   });
 
   // A segment's create takes effect, its answer is lost, and the owner writes
@@ -97,15 +108,15 @@
   ];
   for (const {title, fault} of creates) {
     it(`bills once after a create that ${title}`, async () => {
-      const world = fixtures.createWorld();
-      const keeper = fixtures.createBillKeeper(world);
+      const fixture = fixtures.createFixture();
+      const billLedger = fixtures.createBillLedger(fixture);
       const bills = fixtures.createBills(5);
-      await recordAll(world, keeper, bills.slice(0, 3));
-      fixtures.failNext(world, 'create', fault);
-      await fixtures.settle(world, keeper.flush());
-      await recordAll(world, keeper, bills.slice(3));
-      await fixtures.settle(world, keeper.flush());
-      const billed = await fixtures.listBilled(world);
+      await recordAll(fixture, billLedger, bills.slice(0, 3));
+      fixtures.failNext(fixture, 'create', fault);
+      await fixtures.settle(fixture, billLedger.flush());
+      await recordAll(fixture, billLedger, bills.slice(3));
+      await fixtures.settle(fixture, billLedger.flush());
+      const billed = await fixtures.listBilled(fixture);
       expect(billed).to.deep.equal(identitiesOf(bills));
     });
   }
@@ -115,58 +126,58 @@
   // "already written" would lose what the first writer did not have; names of
   // their own would bill twice.
   it('bills once when two peers and the owner write one lane', async () => {
-    const world = fixtures.createWorld(() => 3);
+    const fixture = fixtures.createFixture(() => 3);
     const bills = fixtures.createBills(6);
-    const owner = fixtures.createBillKeeper(world);
-    await recordAll(world, owner, bills);
+    const owner = fixtures.createBillLedger(fixture);
+    await recordAll(fixture, owner, bills);
     const held = createPending(bills);
     const recoveries = [held.slice(0, 4), held.slice(2, 5)].map((part, i) =>
       fixtures
-        .createBillKeeper(world, {incarnation: `peer-${i}`})
+        .createBillLedger(fixture, {incarnation: `peer-${i}`})
         .recover('instance-a', part),
     );
     const all = Promise.all([...recoveries, owner.flush()]);
-    await fixtures.settle(world, all);
-    const billed = await fixtures.listBilled(world);
+    await fixtures.settle(fixture, all);
+    const billed = await fixtures.listBilled(fixture);
     expect(billed).to.deep.equal(identitiesOf(bills));
   });
 
   it('does not write copies of another owner', async () => {
-    const world = fixtures.createWorld();
-    const keeper = fixtures.createBillKeeper(world);
+    const fixture = fixtures.createFixture();
+    const billLedger = fixtures.createBillLedger(fixture);
     const pending = createPending(fixtures.createBills(1), 'instance-z');
-    await fixtures.settle(world, keeper.recover('instance-a', pending));
-    expect(await fixtures.listBilled(world)).to.deep.equal([]);
+    await fixtures.settle(fixture, billLedger.recover('instance-a', pending));
+    expect(await fixtures.listBilled(fixture)).to.deep.equal([]);
   });
 
   // The platform is out for ten minutes at 15 answers a second and comes back.
   // No bill is lost or doubled, and the instance does not write its backlog at
   // once: with a thousand instances doing so, the platform would fall again.
   it('drains ten minutes of outage at its usual pace', async () => {
-    const world = fixtures.createWorld(() => 3);
-    const keeper = fixtures.createBillKeeper(world);
+    const fixture = fixtures.createFixture(() => 3);
+    const billLedger = fixtures.createBillLedger(fixture);
     const stop = new AbortController();
-    void keeper.run(stop.signal);
-    world.store.fault = () => 'down';
+    void billLedger.run(stop.signal);
+    fixture.store.fault = () => 'down';
     const bills = fixtures.createBills(9_000);
     for (let second = 0; second < 600; second++) {
       const part = bills.slice(second * 15, second * 15 + 15);
-      await recordAll(world, keeper, part);
-      await world.clock.advance(1_000);
+      await recordAll(fixture, billLedger, part);
+      await fixture.clock.advance(1_000);
     }
-    world.store.fault = () => 'none';
-    const before = world.store.calls.create;
-    await world.clock.advance(60_000);
-    const inFirstMinute = world.store.calls.create - before;
+    fixture.store.fault = () => 'none';
+    const before = fixture.store.calls.create;
+    await fixture.clock.advance(60_000);
+    const inFirstMinute = fixture.store.calls.create - before;
     expect(inFirstMinute).to.be.within(6, 12);
-    await world.clock.advance(60_000);
+    await fixture.clock.advance(60_000);
     stop.abort();
-    const billed = await fixtures.listBilled(world);
+    const billed = await fixtures.listBilled(fixture);
     expect(billed).to.deep.equal(identitiesOf(bills));
   });
 });
 
-describe('CopyHolder', () => {
+describe('CopyStore', () => {
   const createBatch = (
     bills: readonly ledger.Bill[],
     writtenLanes: readonly string[] = [],
@@ -177,39 +188,43 @@
   });
 
   it('forgets the copies of a written lane', () => {
-    const {clock} = fixtures.createWorld();
-    const holder = new ledger.CopyHolder({clock});
+    const {clock} = fixtures.createFixture();
+    const copyStore = new ledger.CopyStore({clock});
     const bills = fixtures.createBills(2);
-    holder.hold(createBatch(bills));
-    expect(holder.size).to.equal(2);
+    copyStore.store(createBatch(bills));
+    expect(copyStore.size).to.equal(2);
     const [pending] = createPending(bills);
-    holder.hold(createBatch([], [pending!.lane]));
-    expect(holder.size).to.equal(0);
+    copyStore.store(createBatch([], [pending!.lane]));
+    expect(copyStore.size).to.equal(0);
   });
 
   it('takes a batch whole or not at all', () => {
-    const {clock} = fixtures.createWorld();
-    const holder = new ledger.CopyHolder({clock, maxBills: 2});
-    expect(holder.hold(createBatch(fixtures.createBills(3)))).to.equal(false);
-    expect(holder.size).to.equal(0);
+    const {clock} = fixtures.createFixture();
+    const copyStore = new ledger.CopyStore({clock, maxBills: 2});
+    expect(copyStore.store(createBatch(fixtures.createBills(3)))).to.equal(
+      false,
+    );
+    expect(copyStore.size).to.equal(0);
   });
 
   it('keeps copies whose recovery fails, for the next time', async () => {
-    const world = fixtures.createWorld();
-    const holder = new ledger.CopyHolder(world);
-    const keeper = fixtures.createBillKeeper(world, {incarnation: 'peer'});
-    holder.hold(createBatch(fixtures.createBills(2)));
+    const fixture = fixtures.createFixture();
+    const copyStore = new ledger.CopyStore(fixture);
+    const billLedger = fixtures.createBillLedger(fixture, {
+      incarnation: 'peer',
+    });
+    copyStore.store(createBatch(fixtures.createBills(2)));
     const recover = () =>
-      holder.recoverDead(
+      copyStore.recoverDead(
         () => true,
-        (owner, pending) => keeper.recover(owner, pending),
+        (owner, pending) => billLedger.recover(owner, pending),
       );
-    world.store.fault = () => 'down';
-    expect(await fixtures.settle(world, recover())).to.equal(0);
-    expect(holder.size).to.equal(2);
-    world.store.fault = () => 'none';
-    expect(await fixtures.settle(world, recover())).to.equal(2);
-    expect(holder.size).to.equal(0);
+    fixture.store.fault = () => 'down';
+    expect(await fixtures.settle(fixture, recover())).to.equal(0);
+    expect(copyStore.size).to.equal(2);
+    fixture.store.fault = () => 'none';
+    expect(await fixtures.settle(fixture, recover())).to.equal(2);
+    expect(copyStore.size).to.equal(0);
   });
 });
 
@@ -217,16 +232,16 @@
   // A caller retries a chat request under one key on a second instance, which
   // answers too: two bills under one identity, of which one may count.
   it('counts an identity once and shows the others', async () => {
-    const world = fixtures.createWorld();
+    const fixture = fixtures.createFixture();
     const late = fixtures.createBill({cost: 5, atWallMs: 2});
     const early = fixtures.createBill({cost: 3, atWallMs: 1});
     const other = fixtures.createBill({identity: 'b', workspace: 'meetups'});
-    await world.store.create(ledger.BILL_KIND, 'h.a.0.0', {bills: [late]});
-    await world.store.create(ledger.BILL_KIND, 'h.b.0.0', {
+    await fixture.store.create(ledger.BILL_KIND, 'h.a.0.0', {bills: [late]});
+    await fixture.store.create(ledger.BILL_KIND, 'h.b.0.0', {
       bills: [early, other],
     });
-    await world.store.create(ledger.BILL_KIND, 'h.c.0.0', 'no segment');
-    const summary = (await ledger.readBills(world.store)).unsafeCoerce();
+    await fixture.store.create(ledger.BILL_KIND, 'h.c.0.0', 'no segment');
+    const summary = (await ledger.readBills(fixture.store)).unsafeCoerce();
     expect(summary).to.include({cost: 5, duplicates: 1, unreadable: 1});
     expect([...summary.costByWorkspace]).to.deep.equal([
       ['rosters', 3],
--- a/packages/ledger/tests/claims.test.ts
+++ b/packages/ledger/tests/claim-ledger.test.ts
@@ -12,11 +12,14 @@
 };
 
 const claimOnce = (
-  world: fixtures.World,
-  keeper: ledger.ClaimKeeper,
+  fixture: fixtures.Fixture,
+  claimLedger: ledger.ClaimLedger,
   fingerprint = 'body',
 ): Promise<ledger.ClaimResult> =>
-  fixtures.settle(world, keeper.claim(fixtures.createIdentity(), fingerprint));
+  fixtures.settle(
+    fixture,
+    claimLedger.claim(fixtures.createIdentity(), fingerprint),
+  );
 
 const expectGranted = (result: ledger.ClaimResult): ledger.Claim => {
   if (result.kind !== 'granted') {
@@ -26,26 +29,28 @@
 };
 
 /** Two instances, the second of which can ask the first. */
-const createPair = (world: fixtures.World) => {
-  const first = fixtures.createClaimKeeper(world);
-  const second = fixtures.createClaimKeeper(world, {
+const createPair = (fixture: fixtures.Fixture) => {
+  const first = fixtures.createClaimLedger(fixture);
+  const second = fixtures.createClaimLedger(fixture, {
     incarnation: 'instance-b',
-    askOwner: (_incarnation, owner) =>
-      Promise.resolve(first.describeOwner(owner)),
+    queryOwner: (_incarnation, owner) =>
+      Promise.resolve(first.getOwnerStatus(owner)),
   });
   return {first, second};
 };
 
-describe('ClaimKeeper', () => {
+describe('ClaimLedger', () => {
   it('grants one of many attempts at one moment', async () => {
-    const world = fixtures.createWorld();
+    const fixture = fixtures.createFixture();
     const keepers = ['a', 'b', 'c'].map(incarnation =>
-      fixtures.createClaimKeeper(world, {incarnation}),
+      fixtures.createClaimLedger(fixture, {incarnation}),
     );
     const results = await fixtures.settle(
-      world,
+      fixture,
       Promise.all(
-        keepers.map(keeper => keeper.claim(fixtures.createIdentity(), 'body')),
+        keepers.map(claimLedger =>
+          claimLedger.claim(fixtures.createIdentity(), 'body'),
+        ),
       ),
     );
     const kinds = results.map(result => result.kind).sort();
@@ -53,11 +58,11 @@
   });
 
   it('gives a retry the recorded answer', async () => {
-    const world = fixtures.createWorld();
-    const {first, second} = createPair(world);
-    const claim = expectGranted(await claimOnce(world, first));
-    await fixtures.settle(world, first.finish(claim, ANSWER));
-    expect(await claimOnce(world, second)).to.deep.equal({
+    const fixture = fixtures.createFixture();
+    const {first, second} = createPair(fixture);
+    const claim = expectGranted(await claimOnce(fixture, first));
+    await fixtures.settle(fixture, first.finish(claim, ANSWER));
+    expect(await claimOnce(fixture, second)).to.deep.equal({
       kind: 'already',
       state: 'finished',
       outcome: ANSWER,
@@ -65,20 +70,25 @@
   });
 
   it('keeps the digest of an answer past the bound', async () => {
-    const world = fixtures.createWorld();
-    const keeper = fixtures.createClaimKeeper(world, {
+    const fixture = fixtures.createFixture();
+    const claimLedger = fixtures.createClaimLedger(fixture, {
       limits: {maxOutcomeBytes: 4},
     });
-    const claim = expectGranted(await claimOnce(world, keeper));
-    const kept = await fixtures.settle(world, keeper.finish(claim, ANSWER));
+    const claim = expectGranted(await claimOnce(fixture, claimLedger));
+    const kept = await fixtures.settle(
+      fixture,
+      claimLedger.finish(claim, ANSWER),
+    );
     expect(kept.extract()).to.include({kind: 'digest', bytes: 7});
   });
 
   it('sees one key with two bodies', async () => {
-    const world = fixtures.createWorld();
-    const {first, second} = createPair(world);
-    await claimOnce(world, first);
-    expect((await claimOnce(world, second, 'other')).kind).to.equal('mismatch');
+    const fixture = fixtures.createFixture();
+    const {first, second} = createPair(fixture);
+    await claimOnce(fixture, first);
+    expect((await claimOnce(fixture, second, 'other')).kind).to.equal(
+      'mismatch',
+    );
   });
 
   // A caller sends a booking; the claim is created but the platform's answer
@@ -104,10 +114,10 @@
   ];
   for (const {title, faults, kind} of settled) {
     it(`settles a create ${title}: ${kind}`, async () => {
-      const world = fixtures.createWorld();
-      fixtures.failNext(world, 'create', ...faults);
-      const keeper = fixtures.createClaimKeeper(world);
-      expect((await claimOnce(world, keeper)).kind).to.equal(kind);
+      const fixture = fixtures.createFixture();
+      fixtures.failNext(fixture, 'create', ...faults);
+      const claimLedger = fixtures.createClaimLedger(fixture);
+      expect((await claimOnce(fixture, claimLedger)).kind).to.equal(kind);
     });
   }
 
@@ -115,27 +125,27 @@
   // caller is told not_run. Its retry on another instance meets the claim and
   // would get `unknown` for ever, although nothing ran.
   it('lets a retry take over a claim that its living owner gave up', async () => {
-    const world = fixtures.createWorld();
-    const {first, second} = createPair(world);
-    world.store.fault = operation =>
+    const fixture = fixtures.createFixture();
+    const {first, second} = createPair(fixture);
+    fixture.store.fault = operation =>
       operation === 'create' ? 'lost_after' : 'lost_before';
-    expect((await claimOnce(world, first)).kind).to.equal('refused');
-    world.store.fault = () => 'none';
-    await world.clock.advance(2_000);
-    expect((await claimOnce(world, second)).kind).to.equal('granted');
-    expect((await claimOnce(world, first)).kind).to.equal('already');
+    expect((await claimOnce(fixture, first)).kind).to.equal('refused');
+    fixture.store.fault = () => 'none';
+    await fixture.clock.advance(2_000);
+    expect((await claimOnce(fixture, second)).kind).to.equal('granted');
+    expect((await claimOnce(fixture, first)).kind).to.equal('already');
   });
 
   // The owner of a claim is killed, perhaps after its send. No one can tell
   // whether the booking ran, so no retry may send it.
   it('never takes over a claim whose owner does not answer', async () => {
-    const world = fixtures.createWorld();
-    await claimOnce(world, fixtures.createClaimKeeper(world));
-    const second = fixtures.createClaimKeeper(world, {
+    const fixture = fixtures.createFixture();
+    await claimOnce(fixture, fixtures.createClaimLedger(fixture));
+    const second = fixtures.createClaimLedger(fixture, {
       incarnation: 'instance-b',
-      askOwner: () => Promise.resolve('no_answer'),
+      queryOwner: () => Promise.resolve('no_answer'),
     });
-    expect(await claimOnce(world, second)).to.deep.equal({
+    expect(await claimOnce(fixture, second)).to.deep.equal({
       kind: 'already',
       state: 'claimed',
     });
@@ -147,51 +157,57 @@
   // 90: told not_run, then `unknown` for ever).
   it('deletes a claim that a delayed create makes after its end', async () => {
     const delays = [4_000];
-    const world = fixtures.createWorld(() => delays.shift() ?? 1);
-    const keeper = fixtures.createClaimKeeper(world);
-    const claim = expectGranted(await claimOnce(world, keeper));
-    await fixtures.settle(world, keeper.abandon(claim));
-    await world.clock.advance(5_000);
-    expect(world.store.count(ledger.CLAIM_KIND)).to.equal(1);
+    const fixture = fixtures.createFixture(() => delays.shift() ?? 1);
+    const claimLedger = fixtures.createClaimLedger(fixture);
+    const claim = expectGranted(await claimOnce(fixture, claimLedger));
+    await fixtures.settle(fixture, claimLedger.abandon(claim));
+    await fixture.clock.advance(5_000);
+    expect(fixture.store.count(ledger.CLAIM_KIND)).to.equal(1);
     for (let round = 0; round < 5; round++) {
-      await fixtures.settle(world, keeper.settleVoid());
-      await world.clock.advance(5_000);
+      await fixtures.settle(fixture, claimLedger.deleteVoidClaims());
+      await fixture.clock.advance(5_000);
     }
-    expect(world.store.count(ledger.CLAIM_KIND)).to.equal(0);
+    expect(fixture.store.count(ledger.CLAIM_KIND)).to.equal(0);
   });
 
   it('frees an abandoned claim for another attempt', async () => {
-    const world = fixtures.createWorld();
-    const {first, second} = createPair(world);
-    const claim = expectGranted(await claimOnce(world, first));
-    await fixtures.settle(world, first.abandon(claim));
-    expect((await claimOnce(world, second)).kind).to.equal('granted');
+    const fixture = fixtures.createFixture();
+    const {first, second} = createPair(fixture);
+    const claim = expectGranted(await claimOnce(fixture, first));
+    await fixtures.settle(fixture, first.abandon(claim));
+    expect((await claimOnce(fixture, second)).kind).to.equal('granted');
     expect(first.voidCount).to.equal(0);
   });
 
   // The platform is out at lunch: without a memory of it each request waits
   // for its own timeouts, and callers learn of it seconds late.
   it('refuses at once and without calls while the platform is out', async () => {
-    const world = fixtures.createWorld();
-    world.store.fault = () => 'down';
-    const keeper = fixtures.createClaimKeeper(world);
-    await claimOnce(world, keeper);
-    const calls = {...world.store.calls};
-    const refusal = await keeper.claim(fixtures.createIdentity('k2'), 'body');
+    const fixture = fixtures.createFixture();
+    fixture.store.fault = () => 'down';
+    const claimLedger = fixtures.createClaimLedger(fixture);
+    await claimOnce(fixture, claimLedger);
+    const calls = {...fixture.store.calls};
+    const refusal = await claimLedger.claim(
+      fixtures.createIdentity('k2'),
+      'body',
+    );
     expect(refusal).to.deep.include({kind: 'refused', ran: 'not_run'});
     expect(refusal).to.have.property('retryAfterMs').above(0);
-    expect(world.store.calls).to.deep.equal(calls);
+    expect(fixture.store.calls).to.deep.equal(calls);
   });
 
   it('refuses past the bound of claims in progress', async () => {
-    const world = fixtures.createWorld(() => 100);
-    const keeper = fixtures.createClaimKeeper(world, {
+    const fixture = fixtures.createFixture(() => 100);
+    const claimLedger = fixtures.createClaimLedger(fixture, {
       limits: {maxInProgress: 1},
     });
-    const first = keeper.claim(fixtures.createIdentity('k1'), 'body');
-    const second = await keeper.claim(fixtures.createIdentity('k2'), 'body');
+    const first = claimLedger.claim(fixtures.createIdentity('k1'), 'body');
+    const second = await claimLedger.claim(
+      fixtures.createIdentity('k2'),
+      'body',
+    );
     expect(second.kind).to.equal('refused');
-    expect((await fixtures.settle(world, first)).kind).to.equal('granted');
+    expect((await fixtures.settle(fixture, first)).kind).to.equal('granted');
   });
 
   // A caller gives the same key in two workspaces, or a key that looks like
--- a/packages/ledger/tests/drain-ledger.test.ts
+++ b/packages/ledger/tests/drain-ledger.test.ts
@@ -4,12 +4,12 @@
 
 const {expect} = chai;
 
-const createLeaving = (world: fixtures.World) => {
-  const bills = fixtures.createBillKeeper(world, {incarnation: 'leaving'});
-  const holder = new ledger.CopyHolder(world);
+const createLeavingInstance = (fixture: fixtures.Fixture) => {
+  const bills = fixtures.createBillLedger(fixture, {incarnation: 'leaving'});
+  const holder = new ledger.CopyStore(fixture);
   const drain = () =>
     ledger.drainLedger({
-      ...world,
+      ...fixture,
       random: () => 0.5,
       bills,
       holder,
@@ -18,7 +18,7 @@
   return {bills, holder, drain};
 };
 
-const createHeld = (): ledger.CopyBatch => {
+const createCopyBatch = (): ledger.CopyBatch => {
   const lane = ledger.nameLane(1_700_000_000_000, 'instance-a', 0);
   const bill = fixtures.createBill({identity: 'held'});
   return {
@@ -32,31 +32,31 @@
   // An instance is replaced in a planned stop. The owner of copies that it
   // held dies before it has noticed: its answered bill would be gone.
   it('writes its own bills and the copies it holds', async () => {
-    const world = fixtures.createWorld();
-    const {bills, holder, drain} = createLeaving(world);
+    const fixture = fixtures.createFixture();
+    const {bills, holder, drain} = createLeavingInstance(fixture);
     const own = fixtures.createBill({identity: 'own'});
-    await fixtures.settle(world, bills.record(own));
-    holder.hold(createHeld());
-    expect(await fixtures.settle(world, drain())).to.equal(true);
-    expect(await fixtures.listBilled(world)).to.deep.equal(['held', 'own']);
+    await fixtures.settle(fixture, bills.record(own));
+    holder.store(createCopyBatch());
+    expect(await fixtures.settle(fixture, drain())).to.equal(true);
+    expect(await fixtures.listBilled(fixture)).to.deep.equal(['held', 'own']);
     expect(holder.size).to.equal(0);
   });
 
   it('waits for the platform to come back', async () => {
-    const world = fixtures.createWorld();
-    const {holder, drain} = createLeaving(world);
-    holder.hold(createHeld());
-    world.store.fault = () => (world.clock.now() < 4_000 ? 'down' : 'none');
-    expect(await fixtures.settle(world, drain())).to.equal(true);
-    expect(await fixtures.listBilled(world)).to.deep.equal(['held']);
+    const fixture = fixtures.createFixture();
+    const {holder, drain} = createLeavingInstance(fixture);
+    holder.store(createCopyBatch());
+    fixture.store.fault = () => (fixture.clock.now() < 4_000 ? 'down' : 'none');
+    expect(await fixtures.settle(fixture, drain())).to.equal(true);
+    expect(await fixtures.listBilled(fixture)).to.deep.equal(['held']);
   });
 
   it('says so when the platform stays out', async () => {
-    const world = fixtures.createWorld();
-    const {holder, drain} = createLeaving(world);
-    holder.hold(createHeld());
-    world.store.fault = () => 'down';
-    expect(await fixtures.settle(world, drain())).to.equal(false);
+    const fixture = fixtures.createFixture();
+    const {holder, drain} = createLeavingInstance(fixture);
+    holder.store(createCopyBatch());
+    fixture.store.fault = () => 'down';
+    expect(await fixtures.settle(fixture, drain())).to.equal(false);
     expect(holder.size).to.equal(1);
   });
 });
--- a/packages/ledger/tests/support/fixtures.ts
+++ b/packages/ledger/tests/support/fixtures.ts
@@ -2,19 +2,19 @@
 import * as ledger from '../../src/index.js';
 
 /** The platform in memory, on a virtual clock. */
-export interface World {
+export interface Fixture {
   readonly clock: fakes.VirtualClock;
   readonly store: fakes.MemoryObjectStore;
 }
 
-export const createWorld = (delayMs = () => 0): World => {
+export const createFixture = (delayMs = () => 0): Fixture => {
   const clock = new fakes.VirtualClock();
   return {clock, store: new fakes.MemoryObjectStore({clock, delayMs})};
 };
 
 /** Lets virtual time pass until a promise settles; its value. */
 export const settle = async <T>(
-  world: World,
+  fixture: Fixture,
   promise: Promise<T>,
   limitMs = 60_000,
 ): Promise<T> => {
@@ -23,7 +23,7 @@
     state.done = true;
   };
   void promise.then(finish, finish);
-  if (!(await world.clock.advanceUntil(() => state.done, limitMs))) {
+  if (!(await fixture.clock.advanceUntil(() => state.done, limitMs))) {
     throw new Error(`not settled in ${limitMs} ms of virtual time`);
   }
   return promise;
@@ -31,23 +31,23 @@
 
 /** Faults for the next calls of one operation, in order; then none. */
 export const failNext = (
-  world: World,
+  fixture: Fixture,
   operation: fakes.StoreOperation,
   ...faults: readonly fakes.StoreFault[]
 ): void => {
   const left = [...faults];
-  world.store.fault = called =>
+  fixture.store.fault = called =>
     called === operation ? (left.shift() ?? 'none') : 'none';
 };
 
-export const createClaimKeeper = (
-  world: World,
-  options: Partial<ledger.ClaimKeeperOptions> = {},
-): ledger.ClaimKeeper => {
+export const createClaimLedger = (
+  fixture: Fixture,
+  options: Partial<ledger.ClaimLedgerOptions> = {},
+): ledger.ClaimLedger => {
   const incarnation = options.incarnation ?? 'instance-a';
   let tokens = 0;
-  return new ledger.ClaimKeeper({
-    ...world,
+  return new ledger.ClaimLedger({
+    ...fixture,
     random: () => 0.5,
     newToken: () => `${incarnation}#${tokens++}`,
     incarnation,
@@ -76,12 +76,12 @@
     createBill({identity: `identity-${i}`}),
   );
 
-export const createBillKeeper = (
-  world: World,
-  options: Partial<ledger.BillKeeperOptions> = {},
-): ledger.BillKeeper =>
-  new ledger.BillKeeper({
-    ...world,
+export const createBillLedger = (
+  fixture: Fixture,
+  options: Partial<ledger.BillLedgerOptions> = {},
+): ledger.BillLedger =>
+  new ledger.BillLedger({
+    ...fixture,
     random: () => 0.5,
     incarnation: 'instance-a',
     copyToPeers: () => Promise.resolve(2),
@@ -89,8 +89,10 @@
   });
 
 /** Identities of all bills in the object API, doubled ones too. */
-export const listBilled = async (world: World): Promise<readonly string[]> => {
-  const listing = await settle(world, world.store.list(ledger.BILL_KIND));
+export const listBilled = async (
+  fixture: Fixture,
+): Promise<readonly string[]> => {
+  const listing = await settle(fixture, fixture.store.list(ledger.BILL_KIND));
   return listing
     .map(({objects}) => objects)
     .orDefault([])
--- a/packages/ports/src/http-client.ts
+++ b/packages/ports/src/http-client.ts
@@ -8,7 +8,7 @@
 export const DEFAULT_TIMEOUT_MS = 2_000;
 
 /** Largest answer taken from the platform: a listing of values up to 1 MB. */
-const MAX_ANSWER_BYTES = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
 /** Where the platform is and how to authenticate to it. */
 export interface Endpoint {
@@ -20,7 +20,7 @@
 }
 
 /** An answer of the platform. */
-export interface Answer {
+export interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
 }
@@ -41,7 +41,7 @@
  * Names a failed exchange. Only a refused connection proves that nothing
  * happened; a timeout or reset may have come after a write took effect.
  */
-const describeFailure = (failure: unknown): objectStore.StoreError => {
+const toStoreError = (failure: unknown): objectStore.StoreError => {
   const code = codeOf(failure as NodeFailure);
   const message = failure instanceof Error ? failure.message : String(failure);
   if (code !== undefined && NEVER_SENT.has(code)) {
@@ -72,11 +72,12 @@
     options: {
       readonly body?: unknown;
       readonly headers?: Readonly<Record<string, string>>;
-      readonly extraMs?: number;
+      readonly extraTimeoutMs?: number;
     } = {},
-  ): Promise<purify.Either<objectStore.StoreError, Answer>> {
+  ): Promise<purify.Either<objectStore.StoreError, HttpResponse>> {
     const timeout =
-      (this.endpoint.timeoutMs ?? DEFAULT_TIMEOUT_MS) + (options.extraMs ?? 0);
+      (this.endpoint.timeoutMs ?? DEFAULT_TIMEOUT_MS) +
+      (options.extraTimeoutMs ?? 0);
     try {
       const response = await this.client.request(
         method,
@@ -95,11 +96,11 @@
       const body: unknown = await wreck.default.read(response, {
         json: true,
         timeout,
-        maxBytes: MAX_ANSWER_BYTES,
+        maxBytes: MAX_RESPONSE_BYTES,
       });
       return purify.Right({status: response.statusCode ?? 0, body});
     } catch (failure) {
-      return purify.Left(describeFailure(failure));
+      return purify.Left(toStoreError(failure));
     }
   }
 }
--- a/packages/ports/src/http-instance-list.ts
+++ b/packages/ports/src/http-instance-list.ts
@@ -28,8 +28,8 @@
       readonly instanceList.ListedInstance[]
     >
   > {
-    const answer = await this.client.send('GET', '/instances');
-    return answer.chain(found => {
+    const response = await this.client.send('GET', '/instances');
+    return response.chain(found => {
       const parsed = INSTANCES.safeParse(found.body);
       return parsed.success && found.status === 200
         ? purify.Right(parsed.data.instances)
--- a/packages/ports/src/http-object-store.ts
+++ b/packages/ports/src/http-object-store.ts
@@ -23,9 +23,9 @@
   ),
 });
 
-const toError = (answer: httpClient.Answer): objectStore.StoreError => {
-  const message = `the object API answered ${answer.status}`;
-  switch (answer.status) {
+const toError = (response: httpClient.HttpResponse): objectStore.StoreError => {
+  const message = `the object API answered ${response.status}`;
+  switch (response.status) {
     case 404:
       return {code: 'not_found', message};
     case 409:
@@ -43,14 +43,14 @@
   `/objects/${encodeURIComponent(kind)}/${encodeURIComponent(name)}`;
 
 /** Reads an answer by its schema; a malformed one counts as lost. */
-const parseAnswer = <T>(
-  answer: httpClient.Answer,
+const parseResponse = <T>(
+  response: httpClient.HttpResponse,
   schema: zod.ZodType<T>,
 ): objectStore.StoreResult<T> => {
-  if (answer.status >= 300) {
-    return purify.Left(toError(answer));
+  if (response.status >= 300) {
+    return purify.Left(toError(response));
   }
-  const parsed = schema.safeParse(answer.body);
+  const parsed = schema.safeParse(response.body);
   return parsed.success
     ? purify.Right(parsed.data)
     : purify.Left({code: 'unknown', message: 'malformed answer'});
@@ -64,8 +64,8 @@
     kind: string,
     name: string,
   ): Promise<objectStore.StoreResult<objectStore.StoredObject>> {
-    const answer = await this.client.send('GET', pathOf(kind, name));
-    return answer.chain(found => parseAnswer(found, OBJECT));
+    const response = await this.client.send('GET', pathOf(kind, name));
+    return response.chain(found => parseResponse(found, OBJECT));
   }
 
   async list(
@@ -74,8 +74,8 @@
   ): Promise<objectStore.StoreResult<objectStore.StoreListing>> {
     const query = `?prefix=${encodeURIComponent(prefix)}`;
     const path = `/objects/${encodeURIComponent(kind)}${query}`;
-    const answer = await this.client.send('GET', path);
-    return answer.chain(found => parseAnswer(found, LISTING));
+    const response = await this.client.send('GET', path);
+    return response.chain(found => parseResponse(found, LISTING));
   }
 
   async create(
@@ -83,10 +83,10 @@
     name: string,
     value: unknown,
   ): Promise<objectStore.StoreResult<objectStore.StoredObject>> {
-    const answer = await this.client.send('POST', pathOf(kind, name), {
+    const response = await this.client.send('POST', pathOf(kind, name), {
       body: {value},
     });
-    return answer.chain(found => parseAnswer(found, OBJECT));
+    return response.chain(found => parseResponse(found, OBJECT));
   }
 
   async update(
@@ -95,11 +95,11 @@
     value: unknown,
     expectedVersion: number,
   ): Promise<objectStore.StoreResult<objectStore.StoredObject>> {
-    const answer = await this.client.send('PUT', pathOf(kind, name), {
+    const response = await this.client.send('PUT', pathOf(kind, name), {
       body: {value},
       headers: {'if-match': String(expectedVersion)},
     });
-    return answer.chain(found => parseAnswer(found, OBJECT));
+    return response.chain(found => parseResponse(found, OBJECT));
   }
 
   async delete(
@@ -107,10 +107,10 @@
     name: string,
     expectedVersion: number,
   ): Promise<objectStore.StoreResult<void>> {
-    const answer = await this.client.send('DELETE', pathOf(kind, name), {
+    const response = await this.client.send('DELETE', pathOf(kind, name), {
       headers: {'if-match': String(expectedVersion)},
     });
-    return answer.chain(found =>
+    return response.chain(found =>
       found.status < 300
         ? purify.Right(undefined)
         : purify.Left(toError(found)),
@@ -124,7 +124,9 @@
   ): Promise<objectStore.StoreResult<objectStore.StoreChanges>> {
     const query = `?after=${afterVersion}&wait_ms=${waitMs}`;
     const path = `/watch/${encodeURIComponent(kind)}${query}`;
-    const answer = await this.client.send('GET', path, {extraMs: waitMs});
-    return answer.chain(found => parseAnswer(found, CHANGES));
+    const response = await this.client.send('GET', path, {
+      extraTimeoutMs: waitMs,
+    });
+    return response.chain(found => parseResponse(found, CHANGES));
   }
 }
--- a/packages/ports/src/http-rating-service.ts
+++ b/packages/ports/src/http-rating-service.ts
@@ -24,8 +24,8 @@
     samples: readonly ratingService.RatingSample[],
   ): Promise<purify.Either<objectStore.StoreError, void>> {
     const path = `/ratings/${encodeURIComponent(source)}`;
-    const answer = await this.client.send('POST', path, {body: {samples}});
-    return answer.chain(({status}) =>
+    const response = await this.client.send('POST', path, {body: {samples}});
+    return response.chain(({status}) =>
       status < 300
         ? purify.Right(undefined)
         : fail(`the rating service answered ${status}`),
@@ -37,8 +37,8 @@
     cursor: number,
   ): Promise<purify.Either<objectStore.StoreError, ratingService.RatingBatch>> {
     const path = `/ratings/${encodeURIComponent(source)}?after=${cursor}`;
-    const answer = await this.client.send('GET', path);
-    return answer.chain(({status, body}) => {
+    const response = await this.client.send('GET', path);
+    return response.chain(({status, body}) => {
       const parsed = BATCH.safeParse(body);
       return status < 300 && parsed.success
         ? purify.Right(parsed.data)
