--- a/packages/amaranthknot/src/commands/demo-requests.ts
+++ b/packages/amaranthknot/src/commands/demo-requests.ts
@@ -89,7 +89,7 @@
 
 const bookTwice = async (
   addresses: readonly string[],
-  running: fakes.StandIns,
+  running: fakes.FakeDeployment,
 ): Promise<DemoResult> => {
   const headers = {'idempotency-key': 'seat-12-moana'};
   const book = (address: string) =>
@@ -109,7 +109,7 @@
 /** Sends all requests, one after the other, over different instances. */
 export const sendRequests = async (
   addresses: readonly string[],
-  running: fakes.StandIns,
+  running: fakes.FakeDeployment,
 ): Promise<readonly DemoResult[]> => {
   const [first = '', second = '', third = ''] = addresses;
   return [
--- a/packages/amaranthknot/src/commands/demo.ts
+++ b/packages/amaranthknot/src/commands/demo.ts
@@ -42,7 +42,7 @@
 
 /** Waits until every bill is in the object API. */
 const readBills = async (
-  running: fakes.StandIns,
+  running: fakes.FakeDeployment,
   instances: readonly entryInstance.EntryInstance[],
 ): Promise<ledger.BillSummary> => {
   const deadline = ports.systemClock.now() + BILLS_WAIT_MS;
--- a/packages/amaranthknot/src/commands/explain.ts
+++ b/packages/amaranthknot/src/commands/explain.ts
@@ -69,7 +69,9 @@
     return 1;
   }
   streams.out(
-    flags.json ? `${JSON.stringify(story)}\n` : telemetry.formatStory(story),
+    flags.json
+      ? `${JSON.stringify(story)}\n`
+      : telemetry.formatExplanation(story),
   );
   return 0;
 };
--- a/packages/amaranthknot/src/commands/fakes.ts
+++ b/packages/amaranthknot/src/commands/fakes.ts
@@ -65,7 +65,7 @@
     return 2;
   }
   const listed = standIns.parseInstances(streams.readFile(instances));
-  const running = await standIns.startStandIns({
+  const running = await standIns.startFakeDeployment({
     clock: ports.systemClock,
     instances: [
       ...listed,
--- a/packages/amaranthknot/src/embedded-deployment.ts
+++ b/packages/amaranthknot/src/embedded-deployment.ts
@@ -30,7 +30,7 @@
 
 /** A running deployment. */
 export interface EmbeddedDeployment {
-  readonly fakes: fakes.StandIns;
+  readonly fakes: fakes.FakeDeployment;
   readonly instances: readonly entryInstance.EntryInstance[];
   /** `ip:port` of each entry instance. */
   readonly addresses: readonly string[];
@@ -95,7 +95,7 @@
 export const startEmbedded = async (
   options: EmbeddedOptions,
 ): Promise<EmbeddedDeployment> => {
-  const running = await fakes.startStandIns({
+  const running = await fakes.startFakeDeployment({
     clock: ports.systemClock,
     instances: options.upstreams,
     freePorts: true,
--- a/packages/amaranthknot/src/gateway/fleet-change-logger.ts
+++ b/packages/amaranthknot/src/gateway/fleet-change-logger.ts
@@ -38,7 +38,7 @@
   logPeerFailure(peer: string, {code, message}: protocol.PeerError): void {
     if (code !== 'not_sent' && code !== 'unknown') {
       const reason = message.slice(0, MAX_REASON_LENGTH);
-      this.options.log.trouble('peer_message_refused', {peer, code, reason});
+      this.options.log.warn('peer_message_refused', {peer, code, reason});
     }
   }
 
@@ -58,7 +58,7 @@
   ): void {
     const changed = ids.filter(id => !known.has(id));
     if (changed.length > 0) {
-      this.options.log.belief(event, {
+      this.options.log.info(event, {
         peers: changed.slice(0, MAX_NAMES),
         count: changed.length,
         serving: this.serving.size,
@@ -73,7 +73,7 @@
       return;
     }
     this.wasWatcher = isWatcher;
-    log.belief('watch_role_changed', {
+    log.info('watch_role_changed', {
       isWatcher,
       watchers: watching.findWatchers().map(({id}) => id),
       serving: this.serving.size,
--- a/packages/amaranthknot/src/gateway/gateway-instance.ts
+++ b/packages/amaranthknot/src/gateway/gateway-instance.ts
@@ -54,7 +54,7 @@
   /** Starts serving. */
   async start(): Promise<void> {
     const {get} = this;
-    get('log').belief('instance_started', {uptimeMs: instanceLoops.uptimeMs()});
+    get('log').info('instance_started', {uptimeMs: instanceLoops.uptimeMs()});
     const {signal} = this.shutdown;
     // The store is asked before this instance listens: its answers are on
     // their way meanwhile.
@@ -111,7 +111,7 @@
       startedAt + settings.current.bounds.change.stopGraceMs * DRAIN_SHARE;
     this.stopping = true;
     const {inProgress} = get('gateway');
-    get('log').belief('instance_stopping', {inProgress});
+    get('log').info('instance_stopping', {inProgress});
     get('members').setPhase('leaving');
     get('gateway').beginStop({
       acceptsAllUntilMs: startedAt + ACCEPT_ALL_MS,
@@ -125,7 +125,7 @@
     }
     this.shutdown.abort();
     await get('callerServer').stop(DRAIN_CHECK_INTERVAL_MS);
-    get('log').belief('instance_stopped', {
+    get('log').info('instance_stopped', {
       tookMs: Math.round(clock.now() - startedAt),
       cut: get('gateway').inProgress,
     });
@@ -140,10 +140,10 @@
     const outcome = settings.reload();
     if (outcome.kind === 'changed') {
       const {seeds} = settings.current;
-      this.get('log').belief('settings_reloaded', {seeds: seeds.length});
+      this.get('log').info('settings_reloaded', {seeds: seeds.length});
     } else if (outcome.kind === 'refused') {
       const {reason} = outcome;
-      this.get('log').trouble('settings_refused', {reason});
+      this.get('log').warn('settings_refused', {reason});
     }
   }
 
--- a/packages/amaranthknot/src/gateway/gateway-state.ts
+++ b/packages/amaranthknot/src/gateway/gateway-state.ts
@@ -95,7 +95,7 @@
     if (!error || error.code === 'history_gone') {
       if (!this.isStoreReachable) {
         const awayMs = Math.round(now() - this.storeLostAtMs);
-        log.belief('store_regained', {awayMs});
+        log.info('store_regained', {awayMs});
         this.isStoreReachable = true;
       }
       return;
@@ -103,7 +103,7 @@
     if (this.isStoreReachable) {
       this.isStoreReachable = false;
       this.storeLostAtMs = now();
-      log.trouble('store_lost', {code: error.code, reason: error.message});
+      log.warn('store_lost', {code: error.code, reason: error.message});
     }
   }
 
@@ -177,7 +177,7 @@
     }
     this.silence = {fromMs, toMs: this.options.now()};
     if (!this.isStoreStable()) {
-      this.options.log.belief('lapse_suspected', {
+      this.options.log.info('lapse_suspected', {
         silentMs: Math.round(confirmedAtMs - fromMs),
         keptForMs: LAPSE_GRACE_MS,
       });
@@ -189,7 +189,7 @@
     const after = [...zones].sort();
     this.zonesOut = zones;
     if (after.join() !== before) {
-      this.options.log.belief('zones_out', {zones: after});
+      this.options.log.info('zones_out', {zones: after});
     }
   }
 
@@ -218,11 +218,11 @@
     this.tableObjectVersion = object.version;
     platform.decodeManifest(object.value).caseOf({
       Left: reason => {
-        log.trouble('configuration_refused', {reason});
+        log.warn('configuration_refused', {reason});
       },
       Right: table => {
         this.table = table;
-        log.belief('configuration_in_force', {
+        log.info('configuration_in_force', {
           configuration: table.version,
           routes: table.routes.length,
         });
--- a/packages/amaranthknot/src/gateway/gateway-wiring.ts
+++ b/packages/amaranthknot/src/gateway/gateway-wiring.ts
@@ -27,7 +27,7 @@
       level: options.settings.current.log.level,
       now: () => options.clock.now(),
       onEvent: (event, reason) => {
-        get('metrics').noteEvent(event, reason);
+        get('metrics').recordEvent(event, reason);
       },
     }),
   metrics: get =>
--- a/packages/amaranthknot/src/gateway/instance-loops.ts
+++ b/packages/amaranthknot/src/gateway/instance-loops.ts
@@ -55,7 +55,7 @@
     const {clock} = get('options');
     const startedAtMs = clock.now();
     await get('subscription').fetchInitial(seed);
-    get('log').belief('seed_asked', {
+    get('log').info('seed_asked', {
       seed,
       tookMs: Math.round(clock.now() - startedAtMs),
       isKnowing: get('state').isSynced(),
@@ -87,7 +87,7 @@
       get('state').expire();
       get('rollouts').reportDueEnds();
       this.checkFleetIfDue(clock.now());
-      get('log').tick();
+      get('log').reportDroppedLines();
       this.reloadIfDue(clock.now());
       await clock.sleep(TICK_INTERVAL_MS, signal);
     }
@@ -112,7 +112,7 @@
   private updatePhase(): void {
     const {phase} = this.get('members').self;
     if (phase === 'starting' && this.callbacks.isReady()) {
-      this.get('log').belief('instance_serving', {uptimeMs: uptimeMs()});
+      this.get('log').info('instance_serving', {uptimeMs: uptimeMs()});
       this.get('members').setPhase('serving');
     }
   }
--- a/packages/amaranthknot/src/gateway/wiring/request-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/request-factories.ts
@@ -132,7 +132,7 @@
     refreshTable: () => get('refresh').refresh(),
     activeTable: () => get('state').activeTable(),
     onRequestEnd: sample => {
-      get('metrics').noteRequest(sample);
+      get('metrics').recordRequest(sample);
     },
     tableAgeLimits: {
       keyChecksMs: gatewayState.KEY_AGE_SHARE * change.revocationMs,
@@ -158,7 +158,7 @@
     new gateway.UpstreamCatalog({
       onChanges: changes => {
         forgetGone(get, changes);
-        get('log').belief(
+        get('log').info(
           'upstreams_changed',
           upstreamChanges.describeChanges(changes, {
             ageMs: get('state').upstreamsAgeMs(),
@@ -173,7 +173,7 @@
     new decisions.UpstreamPicker({
       onEject: (upstream, restMs, signs) => {
         const forMs = Math.round(restMs);
-        get('log').trouble('upstream_rested', {upstream, forMs, ...signs});
+        get('log').warn('upstream_rested', {upstream, forMs, ...signs});
       },
       zone: options.settings.current.instance.zone,
       now: () => options.clock.now(),
@@ -196,7 +196,7 @@
           .live(options.clock.now())
           .map(({id}) => id),
       onChange: (upstream, perSecond) => {
-        get('log').belief('upstream_limited', {upstream, perSecond});
+        get('log').info('upstream_limited', {upstream, perSecond});
       },
     }),
   rollouts: createRollouts,
--- a/packages/amaranthknot/src/gateway/wiring/store-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/store-factories.ts
@@ -66,13 +66,13 @@
     getSyncMode: () => get('watching').getSyncMode(view),
     onUpdate: get('takeView'),
     onRelist: asked => {
-      get('log').belief('store_asked', {
+      get('log').info('store_asked', {
         kind: asked.kind,
         ageMs: Math.round(clock.now() - asked.confirmedAtMs),
       });
     },
     onCall: (called, error) => {
-      get('metrics').noteStoreCall(called, error?.code ?? 'done');
+      get('metrics').recordStoreCall(called, error?.code ?? 'done');
       get('state').recordStoreCall(error);
       get('watching').recordStoreCall(error);
     },
@@ -112,7 +112,7 @@
       get('reports').applySummary(source, summary);
     },
     onSourceChange: source => {
-      get('log').belief('watch_source_changed', {source});
+      get('log').info('watch_source_changed', {source});
     },
   });
 
--- a/packages/amaranthknot/src/operator/check-reactivations.ts
+++ b/packages/amaranthknot/src/operator/check-reactivations.ts
@@ -16,7 +16,7 @@
   const found =
     before === undefined || mayBringBack
       ? []
-      : configuration.findReturns(before, after);
+      : configuration.findReactivations(before, after);
   if (found.length === 0) {
     return purify.Right(undefined);
   }
--- a/packages/amaranthknot/tests/answer-integrity.test.ts
+++ b/packages/amaranthknot/tests/answer-integrity.test.ts
@@ -23,7 +23,7 @@
   ) => {
     for (const engine of deployment.fakes.engines.values()) {
       engine.fault = fault;
-      engine.faultsLeft = count;
+      engine.remainingFaults = count;
       engine.cutAfter = cutAfter;
     }
   };
@@ -51,7 +51,7 @@
       });
       const [engine] = deployment.fakes.engines.values();
       engine!.fault = fault;
-      engine!.faultsLeft = count;
+      engine!.remainingFaults = count;
       engine!.cutAfter = cutAfter;
       for (let i = 0; i < 4; i++) {
         const answer = await fixtures.chat(
--- a/packages/amaranthknot/tests/cold-upstream.test.ts
+++ b/packages/amaranthknot/tests/cold-upstream.test.ts
@@ -55,15 +55,15 @@
   it('never gets more than it bears in all', async () => {
     const engine = findEngine();
     await sleep(TIMING.viewLagMs + TIMING.termMs + TIMING.drainMs + 500);
-    engine.warmth = {coldSlots: 2, warmMs: 6_000};
-    engine.turnCold();
+    engine.warmUp = {coldSlots: 2, warmMs: 6_000};
+    engine.makeCold();
     await processes.waitUntil('all know that it is cold', knowCold);
-    engine.worstOverload = Number.NEGATIVE_INFINITY;
+    engine.maxOverload = Number.NEGATIVE_INFINITY;
     const whileCold = await runLoad(4_000);
-    chai.expect(engine.worstOverload).within(-64, 0);
+    chai.expect(engine.maxOverload).within(-64, 0);
     chai.expect(whileCold).greaterThan(0);
     await runLoad(3_000);
-    chai.expect(engine.worstOverload).lessThanOrEqual(0);
+    chai.expect(engine.maxOverload).lessThanOrEqual(0);
   });
 
   // An engine turns cold again under full load, without warning, and refuses
@@ -71,10 +71,10 @@
   // then all instances would go on sending, which makes it fall over.
   it('is left alone at its first refusal when it turns cold again', async () => {
     const engine = findEngine();
-    engine.warmth = {coldSlots: 1, warmMs: 60_000};
+    engine.warmUp = {coldSlots: 1, warmMs: 60_000};
     const load = runLoad(2_500);
     await sleep(1_000);
-    engine.turnCold();
+    engine.makeCold();
     await load;
     // Those already on their way, not one a caller and 10 ms.
     chai.expect(engine.coldRefusals).within(1, CALLERS);
--- a/packages/amaranthknot/tests/gateway/fleet-change-logger.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-change-logger.test.ts
@@ -34,8 +34,8 @@
       findWatchers: () => [members.self],
     } as unknown as watchRole.WatchRole,
     log: {
-      belief: note,
-      trouble: note,
+      info: note,
+      warn: note,
     } as unknown as telemetry.DecisionLog,
   });
   return {
--- a/packages/amaranthknot/tests/gateway/fleet-reports.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-reports.test.ts
@@ -67,7 +67,7 @@
     picker,
     limits,
     rollouts,
-    relay: {report: () => []},
+    relay: {states: () => []},
     watching: {isWatcher: () => isWatcher, findWatchers: () => []},
   };
   const get = ((token: keyof typeof components) =>
--- a/packages/amaranthknot/tests/gateway/leaving-upstreams.test.ts
+++ b/packages/amaranthknot/tests/gateway/leaving-upstreams.test.ts
@@ -133,7 +133,7 @@
     const isFollower = ({get}: virtualFleet.VirtualInstance) =>
       !get('watching').isWatcher();
     const alone = fleet.live().find(isFollower);
-    fleet.cutOff(alone?.id ?? '');
+    fleet.isolate(alone?.id ?? '');
     await removeEntries(fleet, LEAVING);
     await fleet.clock.advance(CUT_MS);
     fleet.heal();
--- a/packages/amaranthknot/tests/gateway/streams.test.ts
+++ b/packages/amaranthknot/tests/gateway/streams.test.ts
@@ -9,7 +9,7 @@
 const LONG_PAUSE_MS = 800;
 
 /** Events from the one after `Last-Event-Id` to the last, and the end. */
-const restOfStream = (request: fakes.ReadRequest): string => {
+const restOfStream = (request: fakes.ParsedRequest): string => {
   const from = Number(request.headers['last-event-id'] ?? 0) + 1;
   let text = '';
   for (let id = from; id <= LENGTH; id++) {
@@ -61,7 +61,7 @@
     await second.stop();
   });
 
-  const all = (): readonly fakes.ReadRequest[] => [
+  const all = (): readonly fakes.ParsedRequest[] => [
     ...first.requests,
     ...second.requests,
   ];
--- a/packages/amaranthknot/tests/openai-client.test.ts
+++ b/packages/amaranthknot/tests/openai-client.test.ts
@@ -107,7 +107,7 @@
     const engines = [...deployment.fakes.engines.values()];
     for (const engine of engines) {
       engine.fault = 'refuse';
-      engine.faultsLeft = Number.POSITIVE_INFINITY;
+      engine.remainingFaults = Number.POSITIVE_INFINITY;
     }
     setTimeout(() => {
       for (const engine of engines) {
--- a/packages/amaranthknot/tests/operator-commands.test.ts
+++ b/packages/amaranthknot/tests/operator-commands.test.ts
@@ -392,7 +392,7 @@
   });
 });
 
-describe('findReturns', () => {
+describe('findReactivations', () => {
   const parse = (state: string): configuration.Document =>
     configuration
       .parseDocument(
@@ -414,7 +414,7 @@
       .unsafeCoerce();
 
   it('finds a withdrawn version that would be active again', () => {
-    const found = configuration.findReturns(
+    const found = configuration.findReactivations(
       parse('withdrawn'),
       parse('active'),
     );
@@ -424,7 +424,7 @@
   });
 
   it('finds nothing in a withdrawal', () => {
-    const found = configuration.findReturns(
+    const found = configuration.findReactivations(
       parse('active'),
       parse('withdrawn'),
     );
--- a/packages/amaranthknot/tests/processes.test.ts
+++ b/packages/amaranthknot/tests/processes.test.ts
@@ -43,7 +43,7 @@
     // Guards against refusals by an instance that has just said it is ready.
     const [instance] = deployment.instances;
     const {platform} = deployment.fakes;
-    platform.isListDown = true;
+    platform.isInstanceListDown = true;
     instance!.signal('SIGKILL');
     await instance!.waitForExit();
     const started = instance!.start();
@@ -52,7 +52,7 @@
       return Number(state?.['generation']) > 0;
     });
     chai.expect(await instance!.isReady()).equal(false);
-    platform.isListDown = false;
+    platform.isInstanceListDown = false;
     await started;
     chai.expect((await fixtures.chat(addressOf(0), 'a')).status).equal(200);
   });
--- a/packages/amaranthknot/tests/support/processes.ts
+++ b/packages/amaranthknot/tests/support/processes.ts
@@ -122,7 +122,7 @@
 
 /** Stand-ins in the test and entry instances as processes. */
 export interface ProcessDeployment {
-  readonly fakes: fakes.StandIns;
+  readonly fakes: fakes.FakeDeployment;
   readonly instances: readonly InstanceProcess[];
   stop(): Promise<void>;
 }
@@ -131,7 +131,7 @@
 export const startProcesses = async (
   options: {readonly tokenMs?: number} = {},
 ): Promise<ProcessDeployment> => {
-  const running = await fakes.startStandIns({
+  const running = await fakes.startFakeDeployment({
     clock: ports.systemClock,
     instances: fixtures.createUpstreams(),
     freePorts: true,
--- a/packages/configuration/src/access.ts
+++ b/packages/configuration/src/access.ts
@@ -9,7 +9,7 @@
 /** Targets by workspace, each once, in sorted order. */
 export type Access = ReadonlyMap<string, readonly documents.Target[]>;
 
-const listMembers = (
+const listRuleWorkspaces = (
   rule: tables.RuleEntry,
   workspaces: readonly string[],
 ): readonly string[] =>
@@ -25,11 +25,11 @@
     document.workspaces.names.map(name => [name, new Set()]),
   );
   for (const {rule} of document.rules) {
-    for (const name of listMembers(rule, document.workspaces.names)) {
-      const own = texts.get(name);
-      const room = tables.MAX_ALLOWED + 1 - (own?.size ?? 0);
+    for (const name of listRuleWorkspaces(rule, document.workspaces.names)) {
+      const targets = texts.get(name);
+      const room = tables.MAX_ALLOWED + 1 - (targets?.size ?? 0);
       for (const text of room > 0 ? rule.allow : []) {
-        own?.add(text);
+        targets?.add(text);
       }
     }
   }
--- a/packages/configuration/src/check-access.ts
+++ b/packages/configuration/src/check-access.ts
@@ -15,10 +15,10 @@
   const model = document.models.entries.get(name);
   if (model === undefined || version === undefined) {
     const {names} = document.models;
-    return checkModels.findDangling(path, 'model', name, names);
+    return checkModels.checkReference(path, 'model', name, names);
   }
   const versions = Object.keys(model.versions);
-  return checkModels.findDangling(path, 'version', version, versions);
+  return checkModels.checkReference(path, 'version', version, versions);
 };
 
 const checkTarget = (
@@ -34,11 +34,11 @@
   switch (target.kind) {
     case 'cascade': {
       const {names} = document.cascades;
-      return checkModels.findDangling(path, 'cascade', target.cascade, names);
+      return checkModels.checkReference(path, 'cascade', target.cascade, names);
     }
     case 'service': {
       const {names} = document.services;
-      return checkModels.findDangling(path, 'service', target.service, names);
+      return checkModels.checkReference(path, 'service', target.service, names);
     }
     case 'model':
       return checkModelTarget(path, target.model, target.version, document);
@@ -46,7 +46,7 @@
 };
 
 const checkRule = (
-  {index, rule}: tables.PlacedRule,
+  {index, rule}: tables.IndexedRule,
   document: tables.Tables,
 ): readonly problems.Finding[] => [
   ...rule.workspaces.flatMap((name, item) => {
@@ -54,7 +54,7 @@
     const {names} = document.workspaces;
     return name === rules.ALL_WORKSPACES
       ? []
-      : checkModels.findDangling(path, 'workspace', name, names);
+      : checkModels.checkReference(path, 'workspace', name, names);
   }),
   ...rule.allow.flatMap((text, item) =>
     checkTarget(['rules', index, 'allow', item], text, document),
@@ -66,7 +66,7 @@
   allowed: readonly documents.Target[],
   name: string,
   document: tables.Tables,
-  through?: documents.Cascade,
+  cascade?: documents.Cascade,
 ): boolean => {
   const model = document.models.entries.get(name);
   if (model === undefined) {
@@ -75,12 +75,12 @@
   return Object.entries(model.versions).some(
     ([version, {state}]) =>
       state === 'active' &&
-      targets.isModelAllowed(allowed, name, version, through),
+      targets.isModelAllowed(allowed, name, version, cascade),
   );
 };
 
 /** Whether a target lets the workspace do anything at all. */
-const isUseful = (
+const isUsable = (
   target: documents.Target,
   allowed: readonly documents.Target[],
   document: tables.Tables,
@@ -113,7 +113,7 @@
   const path = ['workspaces', name, 'default_cascade'];
   const {names} = document.cascades;
   if (!names.includes(cascade)) {
-    return checkModels.findDangling(path, 'cascade', cascade, names);
+    return checkModels.checkReference(path, 'cascade', cascade, names);
   }
   const message = `no rule allows this workspace cascade "${cascade}"`;
   return targets.isCascadeAllowed(allowed, cascade)
@@ -129,7 +129,7 @@
   const message = 'the rules leave this workspace with nothing it may run';
   const path = ['workspaces', name];
   return [
-    ...(allowed.some(target => isUseful(target, allowed, document))
+    ...(allowed.some(target => isUsable(target, allowed, document))
       ? []
       : [{path, code: 'nothing_allowed' as const, message}]),
     ...checkDefaultCascade(name, allowed, document),
@@ -140,7 +140,7 @@
  * A stage that none of the cascade's workspaces may run is never reached. A
  * cascade that no rule allows yet is left alone: it is being prepared.
  */
-const checkReach = (
+const checkStageReachability = (
   cascade: documents.Cascade,
   access: rules.Access,
   document: tables.Tables,
@@ -166,7 +166,7 @@
   access: rules.Access,
 ): readonly problems.Finding[] => {
   const findings = document.rules.flatMap(rule => checkRule(rule, document));
-  if (document.hasBrokenRules) {
+  if (document.hasInvalidRules) {
     return findings; // With a rule missing, what is allowed is not known.
   }
   return [
@@ -175,7 +175,7 @@
       checkWorkspace(name, allowed, document),
     ),
     ...[...document.cascades.entries].flatMap(([name, {stages}]) =>
-      checkReach({name, stages}, access, document),
+      checkStageReachability({name, stages}, access, document),
     ),
   ];
 };
--- a/packages/configuration/src/check-sizes.ts
+++ b/packages/configuration/src/check-entry-counts.ts
@@ -12,32 +12,32 @@
   rollouts: tables.MAX_ENTRIES,
 };
 
-const checkSize = (
+const checkCount = (
   path: problems.KeyPath,
-  size: number,
+  count: number,
   max: number,
   what: string,
 ): readonly problems.Finding[] => {
-  const message = `${size} ${what}, more than the ${max} allowed`;
-  return size <= max ? [] : [{path, code: 'out_of_range', message}];
+  const message = `${count} ${what}, more than the ${max} allowed`;
+  return count <= max ? [] : [{path, code: 'out_of_range', message}];
 };
 
 /** Checks the numbers of entries, versions and allowed targets. */
-export const checkSizes = (
+export const checkEntryCounts = (
   document: tables.Tables,
   allowed: access.Access,
 ): readonly problems.Finding[] => [
   ...Object.entries(MAX_BY_TABLE).flatMap(([table, max]) => {
     const {names} = document[table as tables.TableName];
-    return checkSize([table], names.length, max, table);
+    return checkCount([table], names.length, max, table);
   }),
   ...[...document.models.entries].flatMap(([name, {versions}]) => {
     const size = Object.keys(versions).length;
     const path = ['models', name, 'versions'];
-    return checkSize(path, size, tables.MAX_VERSIONS, 'versions');
+    return checkCount(path, size, tables.MAX_VERSIONS, 'versions');
   }),
   ...[...allowed].flatMap(([name, {length}]) => {
     const path = ['workspaces', name];
-    return checkSize(path, length, tables.MAX_ALLOWED, 'allowed targets');
+    return checkCount(path, length, tables.MAX_ALLOWED, 'allowed targets');
   }),
 ];
--- a/packages/configuration/src/check-keys-and-zones.ts
+++ b/packages/configuration/src/check-keys-and-zones.ts
@@ -34,9 +34,12 @@
   zones: tables.Tables['zones'],
 ): readonly problems.Finding[] => {
   // Zones of the wrong shape, or without a table, are reported as that.
-  const isBroken = !zones.isWritten || zones.entries.size < zones.names.length;
-  const isAnyIn = [...zones.entries.values()].some(zone => zone.state === 'in');
-  if (isBroken || isAnyIn) {
+  const isIncomplete =
+    !zones.isWritten || zones.entries.size < zones.names.length;
+  const hasZoneIn = [...zones.entries.values()].some(
+    zone => zone.state === 'in',
+  );
+  if (isIncomplete || hasZoneIn) {
     return [];
   }
   const message = 'at least one availability zone must be in';
--- a/packages/configuration/src/check-models.ts
+++ b/packages/configuration/src/check-models.ts
@@ -7,7 +7,7 @@
 type RolloutEntry = tables.Entry<'rollouts'>;
 
 /** A finding about a name that refers to nothing. */
-export const findDangling = (
+export const checkReference = (
   path: problems.KeyPath,
   kind: string,
   name: string,
@@ -72,7 +72,7 @@
   return [
     ...(successor === undefined
       ? []
-      : findDangling([...ownPath, 'successor'], 'version', successor, names)),
+      : checkReference([...ownPath, 'successor'], 'version', successor, names)),
     ...checkSuccessors(ownPath, model, name),
   ];
 };
@@ -88,7 +88,7 @@
   const isWithdrawn = findVersion(model, defaultName)?.state === 'withdrawn';
   const message = `default version "${defaultName}" is withdrawn`;
   return [
-    ...findDangling(defaultPath, 'version', defaultName, names),
+    ...checkReference(defaultPath, 'version', defaultName, names),
     ...(isWithdrawn
       ? [{path: defaultPath, code: 'default_withdrawn' as const, message}]
       : []),
@@ -103,17 +103,22 @@
   models: tables.Tables['models'],
 ): readonly problems.Finding[] => {
   const stage = stages[index] ?? '';
-  const before = stages[index - 1] ?? '';
+  const previousStage = stages[index - 1] ?? '';
   const cost = models.entries.get(stage)?.cost_per_thousand_tokens;
-  const costBefore = models.entries.get(before)?.cost_per_thousand_tokens;
+  const previousCost =
+    models.entries.get(previousStage)?.cost_per_thousand_tokens;
   if (stages.indexOf(stage) < index) {
     const message = `stage "${stage}" stands twice; the second is never reached`;
     return [{path, code: 'duplicate', message}];
   }
-  if (cost === undefined || costBefore === undefined || costBefore <= cost) {
-    return findDangling(path, 'model', stage, models.names);
+  if (
+    cost === undefined ||
+    previousCost === undefined ||
+    previousCost <= cost
+  ) {
+    return checkReference(path, 'model', stage, models.names);
   }
-  const message = `"${stage}" costs less (${cost}) than "${before}" (${costBefore}) before it`;
+  const message = `"${stage}" costs less (${cost}) than "${previousStage}" (${previousCost}) before it`;
   return [{path, code: 'cost_order', message}];
 };
 
@@ -161,7 +166,7 @@
   const names = Object.keys(model.versions);
   const version = findVersion(model, name);
   if (version?.state !== 'withdrawn' || rollout.state === 'withdrawn') {
-    return findDangling([...path, side], 'version', name, names);
+    return checkReference([...path, side], 'version', name, names);
   }
   const message = `version "${name}" is withdrawn, the roll-out is not`;
   return [{path: [...path, side], code: 'rollout_withdrawn', message}];
@@ -176,7 +181,7 @@
   const model = models.entries.get(name);
   const message = `rolls "${rollout.from}" out to itself`;
   return [
-    ...findDangling(path, 'model', name, models.names),
+    ...checkReference(path, 'model', name, models.names),
     ...(model ? checkRolloutVersion(path, 'from', rollout, model) : []),
     ...(model ? checkRolloutVersion(path, 'to', rollout, model) : []),
     ...(rollout.from === rollout.to
--- a/packages/configuration/src/check-published.ts
+++ b/packages/configuration/src/check-section-sizes.ts
@@ -30,7 +30,7 @@
 };
 
 /** Checks the numbers and sizes of a document's sections. */
-export const checkPublished = (
+export const checkSectionSizes = (
   document: documents.Document,
 ): readonly problems.Finding[] => {
   const split = sections.splitDocument(document);
--- a/packages/configuration/src/document-tables.ts
+++ b/packages/configuration/src/document-tables.ts
@@ -203,7 +203,7 @@
 }
 
 /** A rule of the right shape, with its index in the file. */
-export interface PlacedRule {
+export interface IndexedRule {
   readonly index: number;
   readonly rule: RuleEntry;
 }
@@ -216,9 +216,9 @@
   readonly workspaces: Table<Entry<'workspaces'>>;
   readonly zones: Table<Entry<'zones'>>;
   readonly rollouts: Table<Entry<'rollouts'>>;
-  readonly rules: readonly PlacedRule[];
+  readonly rules: readonly IndexedRule[];
   /** Whether a rule was left out for its shape. */
-  readonly hasBrokenRules: boolean;
+  readonly hasInvalidRules: boolean;
   readonly sessions?: zod.infer<typeof sessions>;
 }
 
@@ -241,7 +241,7 @@
   return {isWritten: true, names: Object.keys(raw), entries};
 };
 
-const readRules = (raw: unknown): readonly PlacedRule[] =>
+const readRules = (raw: unknown): readonly IndexedRule[] =>
   (Array.isArray(raw) ? raw : []).flatMap((value, index) => {
     const parsed = rule.safeParse(value);
     return parsed.success ? [{index, rule: parsed.data}] : [];
@@ -260,7 +260,7 @@
     zones: readTable(data, 'zones'),
     rollouts: readTable(data, 'rollouts'),
     rules,
-    hasBrokenRules: rules.length < written,
+    hasInvalidRules: rules.length < written,
     ...(parsedSessions.success ? {sessions: parsedSessions.data} : {}),
   };
 };
--- a/packages/configuration/src/find-returns.ts
+++ b/packages/configuration/src/find-reactivations.ts
@@ -11,7 +11,7 @@
 import type * as documents from './document.js';
 import * as problems from './problem.js';
 
-const change = (
+const createChange = (
   path: problems.KeyPath,
   before: string,
   after: string | undefined,
@@ -23,7 +23,7 @@
 };
 
 /** A zone that the document no longer names is not kept out either. */
-const findZones = (
+const findReactivatedZones = (
   before: documents.Document,
   after: documents.Document,
 ): readonly diffs.Change[] =>
@@ -33,7 +33,7 @@
     .filter(zone => !('state' in zone) || zone.state === 'in')
     .map(zone => {
       const state = 'state' in zone ? zone.state : undefined;
-      return change(['zones', zone.name, 'state'], 'out', state);
+      return createChange(['zones', zone.name, 'state'], 'out', state);
     });
 
 const listWithdrawn = (
@@ -45,7 +45,7 @@
       .map(version => [model.name, version.name] as const),
   );
 
-const findVersions = (
+const findReactivatedVersions = (
   before: documents.Document,
   after: documents.Document,
 ): readonly diffs.Change[] =>
@@ -58,14 +58,14 @@
         ),
     )
     .map(([model, version]) =>
-      change(
+      createChange(
         ['models', model, 'versions', version, 'state'],
         'withdrawn',
         'active',
       ),
     );
 
-const findRollouts = (
+const findRestartedRollouts = (
   before: documents.Document,
   after: documents.Document,
 ): readonly diffs.Change[] =>
@@ -80,18 +80,18 @@
       ),
     )
     .map(({model, state}) =>
-      change(['rollouts', model, 'state'], state, 'running'),
+      createChange(['rollouts', model, 'state'], state, 'running'),
     );
 
 /**
  * Lists zones that come back in, withdrawn versions that become active and
  * stopped roll-outs that run again, when `after` replaces `before`.
  */
-export const findReturns = (
+export const findReactivations = (
   before: documents.Document,
   after: documents.Document,
 ): readonly diffs.Change[] => [
-  ...findVersions(before, after),
-  ...findRollouts(before, after),
-  ...findZones(before, after),
+  ...findReactivatedVersions(before, after),
+  ...findRestartedRollouts(before, after),
+  ...findReactivatedZones(before, after),
 ];
--- a/packages/configuration/src/parse-document.ts
+++ b/packages/configuration/src/parse-document.ts
@@ -6,8 +6,8 @@
 import * as checkAccess from './check-access.js';
 import * as checkKeysAndZones from './check-keys-and-zones.js';
 import * as checkModels from './check-models.js';
-import * as checkPublished from './check-published.js';
-import * as checkSizes from './check-sizes.js';
+import * as checkSectionSizes from './check-section-sizes.js';
+import * as checkEntryCounts from './check-entry-counts.js';
 import * as formatDocument from './format-document.js';
 import * as tables from './document-tables.js';
 import * as shapes from './util/check-shape.js';
@@ -111,20 +111,20 @@
   const allowed = access.collectAccess(checked);
   const findings = [
     ...shapes.checkShape(source.data, tables.documentSchema),
-    ...checkSizes.checkSizes(checked, allowed),
+    ...checkEntryCounts.checkEntryCounts(checked, allowed),
     ...checkModels.checkModels(checked),
     ...checkAccess.checkAccess(checked, allowed),
     ...checkKeysAndZones.checkKeyDigests(checked.workspaces),
     ...checkKeysAndZones.checkZones(checked.zones),
   ];
   if (findings.length > 0) {
-    return purify.Left(readToml.placeFindings(source, findings));
+    return purify.Left(readToml.locateFindings(source, findings));
   }
   const document = createDocument(checked, allowed);
-  const oversized = checkPublished.checkPublished(document);
+  const oversized = checkSectionSizes.checkSectionSizes(document);
   return oversized.length === 0
     ? purify.Right(document)
-    : purify.Left(readToml.placeFindings(source, oversized));
+    : purify.Left(readToml.locateFindings(source, oversized));
 };
 
 /**
--- a/packages/configuration/src/parse-gateway-settings.ts
+++ b/packages/configuration/src/parse-gateway-settings.ts
@@ -158,5 +158,5 @@
     const findings = shapes.checkShape(source.data, schema);
     return findings.length === 0
       ? purify.Right(createSettings(schema.parse(source.data)))
-      : purify.Left(readToml.placeFindings(source, findings));
+      : purify.Left(readToml.locateFindings(source, findings));
   });
--- a/packages/configuration/src/parse-instances.ts
+++ b/packages/configuration/src/parse-instances.ts
@@ -68,5 +68,5 @@
       : shapes.checkShape(source.data, schema);
     return parsed.success && findings.length === 0
       ? purify.Right(parsed.data.instances)
-      : purify.Left(readToml.placeFindings(source, findings));
+      : purify.Left(readToml.locateFindings(source, findings));
   });
--- a/packages/configuration/src/parse-settings.ts
+++ b/packages/configuration/src/parse-settings.ts
@@ -111,7 +111,7 @@
     : [];
 };
 
-const shortestGrace = (written: Tables['limits']): number =>
+const getMinStopGraceMs = (written: Tables['limits']): number =>
   written.address_max_age_ms + written.request_timeout_ms;
 
 /**
@@ -119,12 +119,14 @@
  * and a request that came last may take its whole time. A shorter grace would
  * cut requests in every planned stop.
  */
-const checkGrace = (written: Tables['limits']): readonly problems.Finding[] => {
-  const shortest = shortestGrace(written);
-  if ((written.stop_grace_ms ?? shortest) >= shortest) {
+const checkStopGrace = (
+  written: Tables['limits'],
+): readonly problems.Finding[] => {
+  const minMs = getMinStopGraceMs(written);
+  if ((written.stop_grace_ms ?? minMs) >= minMs) {
     return [];
   }
-  const message = `must be at least address_max_age_ms + request_timeout_ms, ${shortest}`;
+  const message = `must be at least address_max_age_ms + request_timeout_ms, ${minMs}`;
   const path = ['limits', 'stop_grace_ms'];
   return [{path, code: 'out_of_range', message}];
 };
@@ -162,7 +164,7 @@
   maxHeaderBytes: written.max_header_bytes,
   headerTimeoutMs: written.header_timeout_ms,
   requestTimeoutMs: written.request_timeout_ms,
-  stopGraceMs: written.stop_grace_ms ?? shortestGrace(written),
+  stopGraceMs: written.stop_grace_ms ?? getMinStopGraceMs(written),
   addressMaxAgeMs: written.address_max_age_ms,
   maxInFlight: written.max_in_flight,
   maxPendingBills: written.max_pending_bills,
@@ -190,7 +192,7 @@
   const written = settingsSchema.shape.limits.safeParse(data['limits']);
   return [
     ...(instance.success ? checkAddresses(instance.data) : []),
-    ...(written.success ? checkGrace(written.data) : []),
+    ...(written.success ? checkStopGrace(written.data) : []),
   ];
 };
 
@@ -212,5 +214,5 @@
     ];
     return findings.length === 0
       ? purify.Right(createSettings(settingsSchema.parse(source.data)))
-      : purify.Left(readToml.placeFindings(source, findings));
+      : purify.Left(readToml.locateFindings(source, findings));
   });
--- a/packages/configuration/src/problem.ts
+++ b/packages/configuration/src/problem.ts
@@ -77,11 +77,11 @@
 
 /** Writes a problem in one line, for people. */
 export const formatProblem = (problem: Problem): string => {
-  const place =
+  const location =
     problem.line === undefined
       ? problem.file
       : `${problem.file}:${problem.line}`;
   const hint =
     problem.nearest === undefined ? '' : `; did you mean "${problem.nearest}"?`;
-  return `${place}: ${problem.key}: ${problem.message}${hint} [${problem.code}]`;
+  return `${location}: ${problem.key}: ${problem.message}${hint} [${problem.code}]`;
 };
--- a/packages/configuration/src/sections.ts
+++ b/packages/configuration/src/sections.ts
@@ -84,7 +84,7 @@
   return {section, byteLength: Buffer.byteLength(text)};
 };
 
-const nameItem = (
+const getSectionName = (
   table: TableName,
   item: documents.Document[TableName][number],
 ): string => `${table}/${'name' in item ? item.name : item.model}`;
@@ -92,7 +92,9 @@
 const listSections = (document: documents.Document): readonly SizedSection[] =>
   [
     ...TABLES.flatMap(table =>
-      document[table].map(item => createSection(nameItem(table, item), item)),
+      document[table].map(item =>
+        createSection(getSectionName(table, item), item),
+      ),
     ),
     ...(document.sessions === undefined
       ? []
@@ -139,32 +141,32 @@
  * workspaces take a tenth of a core. It holds because values are never
  * changed in place: a value from outside is always another object.
  */
-const knownDigests = new WeakMap<object, string>();
+const digestCache = new WeakMap<object, string>();
 
-const digestOnce = (value: unknown): string => {
+const getCachedDigest = (value: unknown): string => {
   if (typeof value !== 'object' || value === null) {
     return canonicalJson.digestValue(value);
   }
-  const digest = knownDigests.get(value) ?? canonicalJson.digestValue(value);
-  knownDigests.set(value, digest);
+  const digest = digestCache.get(value) ?? canonicalJson.digestValue(value);
+  digestCache.set(value, digest);
   return digest;
 };
 
 /** Whether a section's value is the one its digest stands for. */
 export const isSectionIntact = ({digest, value}: Section): boolean =>
-  digestOnce(value) === digest;
+  getCachedDigest(value) === digest;
 
 const findTable = (name: string): TableName | undefined =>
   TABLES.find(table => name.startsWith(`${table}/`));
 
 /** Whether a value is of the item that its section's name says. */
-const isNamed = (name: string, value: unknown): boolean => {
+const hasMatchingName = (name: string, value: unknown): boolean => {
   if (typeof value !== 'object' || value === null) {
     return false;
   }
   const table = findTable(name);
   const item = value as documents.Document[TableName][number];
-  return table === undefined || nameItem(table, item) === name;
+  return table === undefined || getSectionName(table, item) === name;
 };
 
 const checkSection = (section: Section): readonly SectionError[] => {
@@ -181,7 +183,7 @@
   if (!isSectionIntact(section)) {
     return fail('digest_mismatch', `the value's digest is not ${digest}`);
   }
-  return isNamed(name, value)
+  return hasMatchingName(name, value)
     ? []
     : fail('invalid_section', 'the value is of another item');
 };
--- a/packages/configuration/src/target.ts
+++ b/packages/configuration/src/target.ts
@@ -80,16 +80,16 @@
   allowed: readonly documents.Target[],
   model: string,
   version: string,
-  through?: documents.Cascade,
+  cascade?: documents.Cascade,
 ): boolean => {
   const targets = allowed.filter(
     target => target.kind === 'model' && target.model === model,
   );
   if (targets.length === 0) {
     return (
-      through !== undefined &&
-      through.stages.includes(model) &&
-      isCascadeAllowed(allowed, through.name)
+      cascade !== undefined &&
+      cascade.stages.includes(model) &&
+      isCascadeAllowed(allowed, cascade.name)
     );
   }
   return targets.some(
@@ -106,8 +106,8 @@
 export const listAllowedVersions = (
   allowed: readonly documents.Target[],
   model: documents.Model,
-  through?: documents.Cascade,
+  cascade?: documents.Cascade,
 ): readonly string[] =>
   model.versions
     .map(version => version.name)
-    .filter(version => isModelAllowed(allowed, model.name, version, through));
+    .filter(version => isModelAllowed(allowed, model.name, version, cascade));
--- a/packages/configuration/src/util/find-nearest.ts
+++ b/packages/configuration/src/util/find-nearest.ts
@@ -5,7 +5,7 @@
  * Most edits, as a share of the longer name, that still look like a slip. One
  * edit always does: short names such as `v1` have no room for a share.
  */
-const MAX_DISTANCE_SHARE = 0.4;
+const MAX_DISTANCE_FRACTION = 0.4;
 
 /** Longest name worth comparing; the comparison's cost grows with its square. */
 const MAX_COMPARED_LENGTH = 200;
@@ -19,7 +19,9 @@
     return undefined;
   }
   const nearest = levenshtein.closest(name, candidates);
-  const longer = Math.max(name.length, nearest.length);
-  const most = Math.max(1, longer * MAX_DISTANCE_SHARE);
-  return levenshtein.distance(name, nearest) <= most ? nearest : undefined;
+  const longerLength = Math.max(name.length, nearest.length);
+  const maxDistance = Math.max(1, longerLength * MAX_DISTANCE_FRACTION);
+  return levenshtein.distance(name, nearest) <= maxDistance
+    ? nearest
+    : undefined;
 };
--- a/packages/configuration/src/util/read-toml.ts
+++ b/packages/configuration/src/util/read-toml.ts
@@ -12,13 +12,13 @@
 }
 
 const describeSyntax = (error: unknown, file: string): problems.Problem => {
-  const place = error instanceof toml.TomlError ? {line: error.line} : {};
+  const location = error instanceof toml.TomlError ? {line: error.line} : {};
   const text = error instanceof Error ? error.message : String(error);
   // The parser appends a picture of the source; the first line says it all.
   const message = text.split('\n')[0] ?? text;
   return {
     file,
-    ...place,
+    ...location,
     key: problems.WHOLE_FILE_KEY,
     code: 'syntax',
     message,
@@ -42,7 +42,7 @@
     .map(data => ({file, data, lines: lineIndex.indexLines(text)}));
 };
 
-const place = (
+const locate = (
   source: TomlFile,
   finding: problems.Finding,
 ): problems.Problem => {
@@ -58,10 +58,10 @@
 };
 
 /** Places findings in their file, in order of lines. */
-export const placeFindings = (
+export const locateFindings = (
   source: TomlFile,
   findings: readonly problems.Finding[],
 ): readonly problems.Problem[] =>
   findings
-    .map(finding => place(source, finding))
+    .map(finding => locate(source, finding))
     .sort((a, b) => (a.line ?? 0) - (b.line ?? 0));
--- a/packages/configuration/tests/fuzz.test.ts
+++ b/packages/configuration/tests/parsers-fuzz.test.ts
@@ -53,7 +53,7 @@
   parse(text, 'x.toml').swap().orDefault([]);
 
 /** Every problem names file and key, and a line that the text has. */
-const checkPlaces = (
+const checkLocations = (
   found: readonly configuration.Problem[],
   text: string,
 ): void => {
@@ -117,7 +117,7 @@
       fc.assert(
         fc.property(texts, drawn => {
           const text = typeof drawn === 'string' ? drawn : drawn.join('');
-          checkPlaces(problemsOf(parse, text), text);
+          checkLocations(problemsOf(parse, text), text);
         }),
         options,
       );
@@ -129,7 +129,7 @@
         fc.property(place, fc.nat(40), fc.string(), (start, length, added) => {
           const rest = example.slice(start + length);
           const text = example.slice(0, start) + added + rest;
-          checkPlaces(problemsOf(parse, text), text);
+          checkLocations(problemsOf(parse, text), text);
         }),
         options,
       );
@@ -142,7 +142,7 @@
             holder[key] = value;
           });
           const text = toml.stringify(changed);
-          checkPlaces(problemsOf(parse, text), text);
+          checkLocations(problemsOf(parse, text), text);
         }),
         options,
       );
--- a/packages/configuration/tests/sections.test.ts
+++ b/packages/configuration/tests/sections.test.ts
@@ -38,7 +38,7 @@
   sessions: {tokenMaxAgeMs: 60_000},
 });
 
-const putZoneOut = (
+const withZoneOut = (
   document: configuration.Document,
 ): configuration.Document => ({
   ...document,
@@ -94,7 +94,7 @@
 
   it('touches one section when one zone changes', () => {
     const before = configuration.splitDocument(createDocument());
-    const after = configuration.splitDocument(putZoneOut(createDocument()));
+    const after = configuration.splitDocument(withZoneOut(createDocument()));
     const changed = configuration.listChangedSections(
       before.manifest,
       after.manifest,
@@ -177,7 +177,7 @@
     const before = createDocument();
     const [north, ...others] = before.workspaces;
     const after: configuration.Document = {
-      ...putZoneOut(before),
+      ...withZoneOut(before),
       services: [],
       workspaces: [
         {...north!, weight: 3, allowed: north!.allowed.slice(0, 1)},
--- a/packages/experiment/src/compare-policies.ts
+++ b/packages/experiment/src/compare-policies.ts
@@ -1,13 +1,13 @@
 /** Compares policies over deployments, each played with the same requests. */
 import * as statistics from 'simple-statistics';
-import type * as days from './play-day.js';
+import type * as simulation from './run-simulation.js';
 import type * as policies from './policy.js';
 
 /** One policy on one deployment. */
-export interface PlayedDay {
+export interface SimulationResult {
   readonly seed: number;
   readonly policy: policies.PolicyName;
-  readonly outcome: days.DayOutcome;
+  readonly outcome: simulation.SimulationOutcome;
 }
 
 /** A policy against the one that it is compared with. */
@@ -27,26 +27,34 @@
 }
 
 /** Part of a standard normal distribution's mass left out on each side. */
-const TAIL = 0.025;
+const TAIL_PROBABILITY = 0.025;
 
 /** What a day was worth: earned less spent, as a part of all owed. */
-export const findValue = ({owed, earned, spent}: days.DayOutcome): number =>
+export const getNetValue = ({
+  owed,
+  earned,
+  spent,
+}: simulation.SimulationOutcome): number =>
   owed === 0 ? 0 : (earned - spent) / owed;
 
 /** Compares each policy with the reference on the deployments of both. */
 export const comparePolicies = (
-  played: readonly PlayedDay[],
+  played: readonly SimulationResult[],
   reference: policies.PolicyName,
 ): readonly Comparison[] => {
   const names = [...new Set(played.map(({policy}) => policy))];
-  const valuesOf = (name: policies.PolicyName): ReadonlyMap<number, number> =>
+  const getValuesBySeed = (
+    name: policies.PolicyName,
+  ): ReadonlyMap<number, number> =>
     new Map(
       played
         .filter(({policy}) => policy === name)
-        .map(({seed, outcome}) => [seed, findValue(outcome)]),
+        .map(({seed, outcome}) => [seed, getNetValue(outcome)]),
     );
-  const own = valuesOf(reference);
-  return names.map(policy => compare(policy, own, valuesOf(policy)));
+  const referenceValues = getValuesBySeed(reference);
+  return names.map(policy =>
+    compare(policy, referenceValues, getValuesBySeed(policy)),
+  );
 };
 
 const compare = (
@@ -55,8 +63,10 @@
   values: ReadonlyMap<number, number>,
 ): Comparison => {
   const pairs = [...values].flatMap(([seed, value]) => {
-    const own = reference.get(seed);
-    return own === undefined ? [] : [{seed, difference: own - value}];
+    const referenceValue = reference.get(seed);
+    return referenceValue === undefined
+      ? []
+      : [{seed, difference: referenceValue - value}];
   });
   const differences = pairs.map(({difference}) => difference);
   const count = differences.length;
@@ -69,7 +79,8 @@
     mean: statistics.mean([...values.values()]),
     difference: statistics.mean(differences),
     halfInterval:
-      (-statistics.probit(TAIL) * deviation) / Math.sqrt(Math.max(1, count)),
+      (-statistics.probit(TAIL_PROBABILITY) * deviation) /
+      Math.sqrt(Math.max(1, count)),
     isBeatenPart:
       differences.filter(difference => difference >= 0).length / count,
     worst: worst ?? {seed: 0, difference: 0},
--- a/packages/experiment/src/deployment.ts
+++ b/packages/experiment/src/deployment.ts
@@ -18,7 +18,7 @@
   readonly stepMs: number;
   readonly stepMsPerRequest: number;
   /** Prompt tokens read in a millisecond. */
-  readonly readTokensPerMs: number;
+  readonly prefillTokensPerMs: number;
   /** Tokens of shared parts of prompts that stay in memory. */
   readonly cacheTokens: number;
   /** Tokens in one event of a stream. */
@@ -30,14 +30,14 @@
   readonly name: string;
   readonly perSecond: number;
   /** Means of log-normal distributions, and their deviation. */
-  readonly sharedTokens: number;
-  readonly ownTokens: number;
+  readonly prefixTokens: number;
+  readonly suffixTokens: number;
   readonly answerTokens: number;
   readonly spread: number;
   /** Beginnings of prompts among which requests choose. */
-  readonly subjects: number;
+  readonly prefixCount: number;
   readonly latencyTargetMs: number;
-  readonly patienceMs: number;
+  readonly timeoutMs: number;
   readonly worth: number;
   /** Worth of an answer that begins after its target. */
   readonly lateWorth: number;
@@ -50,12 +50,12 @@
   readonly zones: number;
   readonly engines: number;
   /** Factor on the times of each engine; 1 is sound. */
-  readonly slowness: readonly number[];
+  readonly slowdowns: readonly number[];
   readonly shape: EngineShape;
   /** Cheapest first. */
   readonly models: readonly EmulatedModel[];
   /** Standard deviation of a model's opinion, in points of confidence. */
-  readonly opinionDeviation: number;
+  readonly confidenceDeviation: number;
   readonly classes: readonly RequestClass[];
   /** A moment from which all load is this many times as high, for a while. */
   readonly burst: {
@@ -64,5 +64,5 @@
     readonly factor: number;
   };
   /** How long the load lasts. */
-  readonly lengthMs: number;
+  readonly durationMs: number;
 }
--- a/packages/experiment/src/draw-deployment.ts
+++ b/packages/experiment/src/draw-deployment.ts
@@ -14,20 +14,20 @@
   slots: [16, 128],
   stepMs: [2, 6],
   stepMsPerRequest: [0.03, 0.15],
-  readTokensPerMs: [40, 150],
+  prefillTokensPerMs: [40, 150],
   cacheTokens: [100_000, 700_000],
   eventTokens: [5, 9],
-  opinionDeviation: [4, 16],
+  confidenceDeviation: [4, 16],
   /** Part of what all engines can read and generate that the load takes. */
   utilization: [0.15, 0.9],
   burstFactor: [1, 2],
   worth: [0.3, 5],
   lateShare: [0.1, 0.5],
-  sharedTokens: [150, 6_000],
-  ownTokens: [300, 5_000],
+  prefixTokens: [150, 6_000],
+  suffixTokens: [300, 5_000],
   answerTokens: [20, 450],
   spread: [0.3, 1.2],
-  subjects: [10, 600],
+  prefixCount: [10, 600],
   latencyTargetMs: [1_500, 4_000],
   cheapCost: [0.01, 0.05],
   capableCost: [0.2, 0.6],
@@ -36,12 +36,12 @@
 } as const satisfies Record<string, Range>;
 
 const CLASSES = 3;
-const LENGTH_MS = 20_000;
+const DURATION_MS = 20_000;
 const BURST = {atMs: 8_000, forMs: 4_000};
 
 /** Part of engines that are slower, and by how much at the most. */
-const SLOW_PART = 0.15;
-const MOST_SLOWNESS = 3;
+const SLOW_FRACTION = 0.15;
+const MAX_SLOWDOWN = 3;
 
 /** Quality of the cheap model; the capable one answers all well. */
 const CHEAP_QUALITY: Range = [0.45, 0.8];
@@ -52,27 +52,27 @@
   model: deployments.EmulatedModel,
   request: deployments.RequestClass,
 ): number => {
-  const {sharedTokens, ownTokens, answerTokens} = request;
+  const {prefixTokens, suffixTokens, answerTokens} = request;
   const batch = shape.slots / 2;
   const stepMs = shape.stepMs + batch * shape.stepMsPerRequest;
-  const readMs = (sharedTokens / 2 + ownTokens) / shape.readTokensPerMs;
-  return model.pace * (readMs + (answerTokens * stepMs) / batch);
+  const prefillMs =
+    (prefixTokens / 2 + suffixTokens) / shape.prefillTokensPerMs;
+  return model.pace * (prefillMs + (answerTokens * stepMs) / batch);
 };
 
 /** Draws the deployment of a seed. */
 export const drawDeployment = (seed: number): deployments.Deployment => {
   const random = fakes.createRandom(seed);
-  const draw = ([least, most]: Range): number =>
-    least * (most / least) ** random();
-  const whole = (range: Range): number => Math.round(draw(range));
+  const draw = ([min, max]: Range): number => min * (max / min) ** random();
+  const drawInteger = (range: Range): number => Math.round(draw(range));
 
   const shape: deployments.EngineShape = {
-    slots: whole(RANGES.slots),
+    slots: drawInteger(RANGES.slots),
     stepMs: draw(RANGES.stepMs),
     stepMsPerRequest: draw(RANGES.stepMsPerRequest),
-    readTokensPerMs: draw(RANGES.readTokensPerMs),
-    cacheTokens: whole(RANGES.cacheTokens),
-    eventTokens: whole(RANGES.eventTokens),
+    prefillTokensPerMs: draw(RANGES.prefillTokensPerMs),
+    cacheTokens: drawInteger(RANGES.cacheTokens),
+    eventTokens: drawInteger(RANGES.eventTokens),
   };
   const models: readonly deployments.EmulatedModel[] = [
     {
@@ -88,20 +88,20 @@
       quality: 1,
     },
   ];
-  const engines = whole(RANGES.engines);
+  const engines = drawInteger(RANGES.engines);
   const drawClass = (index: number): deployments.RequestClass => {
     const worth = draw(RANGES.worth);
     const latencyTargetMs = draw(RANGES.latencyTargetMs);
     return {
       name: `class-${index}`,
       perSecond: 0.3 + random(),
-      sharedTokens: whole(RANGES.sharedTokens),
-      ownTokens: whole(RANGES.ownTokens),
-      answerTokens: whole(RANGES.answerTokens),
+      prefixTokens: drawInteger(RANGES.prefixTokens),
+      suffixTokens: drawInteger(RANGES.suffixTokens),
+      answerTokens: drawInteger(RANGES.answerTokens),
       spread: draw(RANGES.spread),
-      subjects: whole(RANGES.subjects),
+      prefixCount: drawInteger(RANGES.prefixCount),
       latencyTargetMs,
-      patienceMs: (2 + 4 * random()) * latencyTargetMs,
+      timeoutMs: (2 + 4 * random()) * latencyTargetMs,
       worth,
       lateWorth: worth * draw(RANGES.lateShare),
     };
@@ -123,20 +123,20 @@
   const scale = (draw(RANGES.utilization) * engines * 1_000) / engineMs;
   return {
     seed,
-    instances: whole(RANGES.instances),
+    instances: drawInteger(RANGES.instances),
     zones: 1 + Math.floor(3 * random()),
     engines,
-    slowness: Array.from({length: engines}, () =>
-      random() < SLOW_PART ? draw([1, MOST_SLOWNESS]) : 1,
+    slowdowns: Array.from({length: engines}, () =>
+      random() < SLOW_FRACTION ? draw([1, MAX_SLOWDOWN]) : 1,
     ),
     shape,
     models,
-    opinionDeviation: draw(RANGES.opinionDeviation),
+    confidenceDeviation: draw(RANGES.confidenceDeviation),
     classes: drawn.map(request => ({
       ...request,
       perSecond: request.perSecond * scale,
     })),
     burst: {...BURST, factor: draw(RANGES.burstFactor)},
-    lengthMs: LENGTH_MS,
+    durationMs: DURATION_MS,
   };
 };
--- a/packages/experiment/src/emulated-engine.ts
+++ b/packages/experiment/src/emulated-engine.ts
@@ -10,28 +10,28 @@
 export interface EngineRequest {
   readonly model: deployments.EmulatedModel;
   /** Names the shared beginning of its prompt. */
-  readonly subject: string;
-  readonly sharedTokens: number;
-  readonly ownTokens: number;
+  readonly prefixKey: string;
+  readonly prefixTokens: number;
+  readonly suffixTokens: number;
   readonly answerTokens: number;
 }
 
 /** A run in progress. */
 export interface EngineRun {
   /** Resolves with its first token; never where it was given up before. */
-  readonly begun: Promise<void>;
+  readonly firstToken: Promise<void>;
   /** Resolves with its last token, or when it was given up. */
   readonly done: Promise<void>;
   readonly cancel: () => void;
 }
 
 /** Prompt tokens that are read between two steps. */
-const CHUNK_TOKENS = 4_096;
+const PREFILL_CHUNK_TOKENS = 4_096;
 
 interface Job {
   readonly request: EngineRequest;
-  toRead: number;
-  toWrite: number;
+  remainingPrefill: number;
+  remainingDecode: number;
   readonly begin: () => void;
   readonly finish: () => void;
 }
@@ -40,7 +40,7 @@
 export class EmulatedEngine {
   private readonly waiting: Job[] = [];
   private running: Job[] = [];
-  private isAwake = false;
+  private isRunning = false;
   /** Shared beginnings by name, the least recently used first. */
   private readonly cache = new Map<string, number>();
   private cachedTokens = 0;
@@ -48,7 +48,7 @@
   constructor(
     private readonly clock: ports.Clock,
     private readonly shape: deployments.EngineShape,
-    private readonly slowness: number,
+    private readonly slowdown: number,
   ) {}
 
   /** Requests that run or wait. */
@@ -60,19 +60,19 @@
   start(request: EngineRequest): EngineRun {
     let begin: () => void = () => undefined;
     let finish: () => void = () => undefined;
-    const begun = new Promise<void>(resolve => (begin = resolve));
+    const firstToken = new Promise<void>(resolve => (begin = resolve));
     const done = new Promise<void>(resolve => (finish = resolve));
     const job: Job = {
       request,
-      toRead: 0,
-      toWrite: request.answerTokens,
+      remainingPrefill: 0,
+      remainingDecode: request.answerTokens,
       begin,
       finish,
     };
     this.waiting.push(job);
-    void this.work();
+    void this.runBatch();
     return {
-      begun,
+      firstToken,
       done,
       cancel: () => {
         this.remove(job);
@@ -80,25 +80,32 @@
     };
   }
 
-  private async work(): Promise<void> {
-    if (this.isAwake) {
+  private async runBatch(): Promise<void> {
+    if (this.isRunning) {
       return;
     }
-    this.isAwake = true;
+    this.isRunning = true;
     while (this.load > 0) {
       this.admit();
-      const reading = this.running.find(({toRead}) => toRead > 0);
-      const chunk = Math.min(CHUNK_TOKENS, reading?.toRead ?? 0);
-      const writing = this.running.filter(({toRead}) => toRead === 0);
-      await this.clock.sleep(this.findStepMs(reading, chunk, writing));
-      if (reading) {
-        reading.toRead -= chunk;
+      const prefilling = this.running.find(
+        ({remainingPrefill}) => remainingPrefill > 0,
+      );
+      const chunk = Math.min(
+        PREFILL_CHUNK_TOKENS,
+        prefilling?.remainingPrefill ?? 0,
+      );
+      const decoding = this.running.filter(
+        ({remainingPrefill}) => remainingPrefill === 0,
+      );
+      await this.clock.sleep(this.findStepMs(prefilling, chunk, decoding));
+      if (prefilling) {
+        prefilling.remainingPrefill -= chunk;
       }
-      writing.forEach(job => {
-        this.write(job);
+      decoding.forEach(job => {
+        this.decode(job);
       });
     }
-    this.isAwake = false;
+    this.isRunning = false;
   }
 
   private admit(): void {
@@ -108,58 +115,67 @@
         return;
       }
       const {request} = job;
-      job.toRead = request.ownTokens + this.findUncached(request);
+      job.remainingPrefill =
+        request.suffixTokens + this.findUncachedTokens(request);
       this.running.push(job);
     }
   }
 
   private findStepMs(
-    reading: Job | undefined,
+    prefilling: Job | undefined,
     chunk: number,
-    writing: readonly Job[],
+    decoding: readonly Job[],
   ): number {
-    const {stepMs, stepMsPerRequest, readTokensPerMs, eventTokens} = this.shape;
-    const readMs = reading
-      ? (reading.request.model.pace * chunk) / readTokensPerMs
+    const {stepMs, stepMsPerRequest, prefillTokensPerMs, eventTokens} =
+      this.shape;
+    const prefillMs = prefilling
+      ? (prefilling.request.model.pace * chunk) / prefillTokensPerMs
       : 0;
-    const paces = writing.reduce((sum, job) => sum + job.request.model.pace, 0);
-    const meanPace = writing.length === 0 ? 0 : paces / writing.length;
-    const writeMs =
-      eventTokens * meanPace * (stepMs + stepMsPerRequest * writing.length);
-    return this.slowness * (readMs + writeMs);
+    const paces = decoding.reduce(
+      (sum, job) => sum + job.request.model.pace,
+      0,
+    );
+    const meanPace = decoding.length === 0 ? 0 : paces / decoding.length;
+    const decodeMs =
+      eventTokens * meanPace * (stepMs + stepMsPerRequest * decoding.length);
+    return this.slowdown * (prefillMs + decodeMs);
   }
 
-  private write(job: Job): void {
+  private decode(job: Job): void {
     if (!this.running.includes(job)) {
       return;
     }
     job.begin();
-    job.toWrite -= this.shape.eventTokens;
-    if (job.toWrite <= 0) {
+    job.remainingDecode -= this.shape.eventTokens;
+    if (job.remainingDecode <= 0) {
       this.remove(job);
     }
   }
 
   private remove(job: Job): void {
     this.running = this.running.filter(found => found !== job);
-    const place = this.waiting.indexOf(job);
-    if (place >= 0) {
-      this.waiting.splice(place, 1);
+    const index = this.waiting.indexOf(job);
+    if (index >= 0) {
+      this.waiting.splice(index, 1);
     }
     job.finish();
   }
 
   /** Tokens of a shared beginning that have to be read; they are kept then. */
-  private findUncached({model, subject, sharedTokens}: EngineRequest): number {
-    const name = `${model.name}/${subject}`;
-    const kept = this.cache.get(name);
-    if (kept !== undefined) {
+  private findUncachedTokens({
+    model,
+    prefixKey,
+    prefixTokens,
+  }: EngineRequest): number {
+    const name = `${model.name}/${prefixKey}`;
+    const cached = this.cache.get(name);
+    if (cached !== undefined) {
       this.cache.delete(name);
-      this.cache.set(name, kept);
+      this.cache.set(name, cached);
       return 0;
     }
-    this.cache.set(name, sharedTokens);
-    this.cachedTokens += sharedTokens;
+    this.cache.set(name, prefixTokens);
+    this.cachedTokens += prefixTokens;
     for (const [oldest, tokens] of this.cache) {
       if (this.cachedTokens <= this.shape.cacheTokens) {
         break;
@@ -167,6 +183,6 @@
       this.cache.delete(oldest);
       this.cachedTokens -= tokens;
     }
-    return sharedTokens;
+    return prefixTokens;
   }
 }
--- a/packages/experiment/src/main.ts
+++ b/packages/experiment/src/main.ts
@@ -4,8 +4,8 @@
  */
 import * as meow from 'meow';
 import * as comparisons from './compare-policies.js';
-import * as drawing from './draw-deployment.js';
-import * as days from './play-day.js';
+import * as drawDeployment from './draw-deployment.js';
+import * as simulation from './run-simulation.js';
 import * as policies from './policy.js';
 
 const [REFERENCE] = policies.POLICY_NAMES;
@@ -21,7 +21,7 @@
   Options
     --seeds N      deployments to play (10)
     --first N      seed of the first one (1)
-    --held-out     judge on seeds from ${drawing.FIRST_HELD_OUT_SEED} on; what is seen there must
+    --held-out     judge on seeds from ${drawDeployment.FIRST_HELD_OUT_SEED} on; what is seen there must
                    not shape a policy
     --policy NAME  ${policies.POLICY_NAMES.join(', ')}; may be repeated (all)
     --json         print the comparison as JSON
@@ -47,13 +47,14 @@
   seeds: number,
   names: readonly string[],
 ): string | undefined => {
-  const isWhole = (value: number) => Number.isInteger(value) && value > 0;
-  if (!isWhole(first) || !isWhole(seeds)) {
+  const isPositiveInteger = (value: number) =>
+    Number.isInteger(value) && value > 0;
+  if (!isPositiveInteger(first) || !isPositiveInteger(seeds)) {
     return '--first and --seeds take whole numbers above 0';
   }
   const last = first + seeds - 1;
-  if (!cli.flags.heldOut && last >= drawing.FIRST_HELD_OUT_SEED) {
-    return `seeds from ${drawing.FIRST_HELD_OUT_SEED} on are for judging: say --held-out`;
+  if (!cli.flags.heldOut && last >= drawDeployment.FIRST_HELD_OUT_SEED) {
+    return `seeds from ${drawDeployment.FIRST_HELD_OUT_SEED} on are for judging: say --held-out`;
   }
   const known: readonly string[] = policies.POLICY_NAMES;
   const unknown = names.find(name => !known.includes(name));
@@ -95,7 +96,7 @@
 const run = async (): Promise<number> => {
   const {seeds, heldOut, json} = cli.flags;
   const first = heldOut
-    ? Math.max(cli.flags.first, drawing.FIRST_HELD_OUT_SEED)
+    ? Math.max(cli.flags.first, drawDeployment.FIRST_HELD_OUT_SEED)
     : cli.flags.first;
   const asked = cli.flags.policy ?? [];
   const problem = findProblem(first, seeds, asked);
@@ -106,11 +107,11 @@
   const names = policies.POLICY_NAMES.filter(
     name => asked.length === 0 || name === REFERENCE || asked.includes(name),
   );
-  const played: comparisons.PlayedDay[] = [];
+  const played: comparisons.SimulationResult[] = [];
   for (let seed = first; seed < first + seeds; seed++) {
-    const deployment = drawing.drawDeployment(seed);
+    const deployment = drawDeployment.drawDeployment(seed);
     for (const policy of names) {
-      const outcome = await days.playDay(deployment, policy);
+      const outcome = await simulation.runSimulation(deployment, policy);
       played.push({seed, policy, outcome});
     }
     process.stderr.write(`played ${seed - first + 1} of ${seeds}\n`);
--- a/packages/experiment/src/manifest.ts
+++ b/packages/experiment/src/manifest.ts
@@ -7,14 +7,14 @@
 export const HOST = 'models.example';
 
 const createRoute = (
-  {name, patienceMs, latencyTargetMs}: deployments.RequestClass,
+  {name, timeoutMs, latencyTargetMs}: deployments.RequestClass,
   models: readonly deployments.EmulatedModel[],
 ): unknown => ({
   name,
   host: HOST,
   pathPrefix: `/${name}/`,
   kind: 'streaming',
-  timeoutMs: patienceMs,
+  timeoutMs,
   targetLatencyMs: latencyTargetMs,
   priority: 0,
   service: SERVICE,
@@ -56,7 +56,7 @@
 });
 
 /** An engine's entry in the store. */
-export const createEntry = (
+export const createEngineEntry = (
   index: number,
   {zones, shape}: deployments.Deployment,
 ): unknown => ({
--- a/packages/experiment/src/policy.ts
+++ b/packages/experiment/src/policy.ts
@@ -27,7 +27,7 @@
 
 const createPicker = (
   get: amaranthknot.GatewayResolver,
-  choosePick: (picker: decisions.UpstreamPicker) => Pick,
+  createPick: (picker: decisions.UpstreamPicker) => Pick,
 ): decisions.UpstreamPicker => {
   const {clock, random, settings} = get('options');
   const picker = new decisions.UpstreamPicker({
@@ -36,23 +36,23 @@
     now: () => clock.now(),
     random,
   });
-  picker.pick = choosePick(picker);
+  picker.pick = createPick(picker);
   return picker;
 };
 
-const pickAny =
+const pickRandom =
   (random: () => number): Pick =>
   candidates =>
     candidates[Math.floor(random() * candidates.length)];
 
-const pickLeast =
+const pickLeastLoaded =
   (picker: decisions.UpstreamPicker): Pick =>
   candidates =>
     [...candidates].sort(
       (a, b) => picker.describe(a.id).inFlight - picker.describe(b.id).inFlight,
     )[0];
 
-const createJudge = (
+const createEscalationPolicy = (
   get: amaranthknot.GatewayResolver,
   runs: boolean,
 ): gateway.EscalationPolicy => {
@@ -82,13 +82,14 @@
       return {};
     case 'random':
       return {
-        picker: get => createPicker(get, () => pickAny(get('options').random)),
+        picker: get =>
+          createPicker(get, () => pickRandom(get('options').random)),
       };
     case 'least_requests':
-      return {picker: get => createPicker(get, pickLeast)};
+      return {picker: get => createPicker(get, pickLeastLoaded)};
     case 'cheap_only':
-      return {capable: get => createJudge(get, false)};
+      return {capable: get => createEscalationPolicy(get, false)};
     case 'capable_only':
-      return {capable: get => createJudge(get, true)};
+      return {capable: get => createEscalationPolicy(get, true)};
   }
 };
--- a/packages/experiment/src/play-day.ts
+++ b/packages/experiment/src/run-simulation.ts
@@ -15,7 +15,7 @@
 import * as virtualFleet from './virtual-fleet.js';
 
 /** What callers of one day got. */
-export interface DayOutcome {
+export interface SimulationOutcome {
   readonly requests: number;
   /** Worth of all requests, and what was earned of it. */
   readonly owed: number;
@@ -30,13 +30,13 @@
 }
 
 /** Part of its worth that an answer has which was too hard for its model. */
-const WEAK_PART = 0.05;
+const WEAK_VALUE_FRACTION = 0.05;
 
 /** Time in which the fleet gets to know itself before the load, in ms. */
 const SETTLE_MS = 4_000;
 
 /** Steps in which the end of the last answers is waited for, in ms. */
-const TAIL_STEP_MS = 1_000;
+const DRAIN_STEP_MS = 1_000;
 
 /** Step of the load, in milliseconds. */
 const STEP_MS = 10;
@@ -44,7 +44,7 @@
 const MS_PER_S = 1_000;
 
 /** Price of a prompt's token against a generated one. */
-const READ_PRICE = 0.25;
+const PROMPT_PRICE_FRACTION = 0.25;
 
 /** A request as it was drawn, the same under each policy. */
 interface DrawnRequest {
@@ -53,14 +53,14 @@
   /** 0 to 1: which instance takes it. */
   readonly instance: number;
   readonly class: deployments.RequestClass;
-  readonly subject: string;
-  readonly sharedTokens: number;
-  readonly ownTokens: number;
+  readonly prefixKey: string;
+  readonly prefixTokens: number;
+  readonly suffixTokens: number;
   readonly answerTokens: number;
   /** 0 to 1; a model with less quality answers badly. */
-  readonly hardness: number;
+  readonly difficulty: number;
   /** Error of a model's opinion, standard normal. */
-  readonly opinion: number;
+  readonly confidenceError: number;
 }
 
 const drawNormal = (random: () => number): number =>
@@ -71,7 +71,7 @@
   deployment: deployments.Deployment,
 ): readonly DrawnRequest[] => {
   const random = fakes.createRandom(deployment.seed + 1);
-  const {burst, lengthMs} = deployment;
+  const {burst, durationMs} = deployment;
   const drawTokens = (mean: number, spread: number): number =>
     Math.max(
       1,
@@ -81,7 +81,7 @@
     );
   const drawn = deployment.classes.flatMap(request => {
     const found: DrawnRequest[] = [];
-    for (let atMs = 0; atMs < lengthMs;) {
+    for (let atMs = 0; atMs < durationMs;) {
       const isBurst = atMs >= burst.atMs && atMs < burst.atMs + burst.forMs;
       const perSecond = request.perSecond * (isBurst ? burst.factor : 1);
       atMs += fakes.drawExponential(random, MS_PER_S / perSecond);
@@ -91,12 +91,12 @@
         atMs,
         instance: random(),
         class: request,
-        subject: `${request.name}/${Math.floor(random() * request.subjects)}`,
-        sharedTokens: request.sharedTokens,
-        ownTokens: drawTokens(request.ownTokens, spread),
+        prefixKey: `${request.name}/${Math.floor(random() * request.prefixCount)}`,
+        prefixTokens: request.prefixTokens,
+        suffixTokens: drawTokens(request.suffixTokens, spread),
         answerTokens: drawTokens(request.answerTokens, spread),
-        hardness: random(),
-        opinion: drawNormal(random),
+        difficulty: random(),
+        confidenceError: drawNormal(random),
       });
     }
     return found;
@@ -106,12 +106,15 @@
 
 /** What a model thinks of its answer, 0 to 100. */
 const findConfidence = (
-  {hardness, opinion}: DrawnRequest,
+  {difficulty, confidenceError}: DrawnRequest,
   {quality}: deployments.EmulatedModel,
   deviation: number,
 ): number => {
-  const middle = 50 + 100 * (quality - hardness);
-  return Math.min(100, Math.max(0, Math.round(middle + deviation * opinion)));
+  const middle = 50 + 100 * (quality - difficulty);
+  return Math.min(
+    100,
+    Math.max(0, Math.round(middle + deviation * confidenceError)),
+  );
 };
 
 const createPlacementRequest = (
@@ -127,7 +130,7 @@
     return undefined;
   }
   const now = get('options').clock.now();
-  const deadlineMs = now + drawn.class.patienceMs;
+  const deadlineMs = now + drawn.class.timeoutMs;
   const caller = {
     id: drawn.id,
     method: 'POST',
@@ -141,12 +144,12 @@
     session: undefined,
     lastEventId: undefined,
     generation: {
-      promptTokens: drawn.sharedTokens + drawn.ownTokens,
+      promptTokens: drawn.prefixTokens + drawn.suffixTokens,
       maxTokens: 2 * drawn.answerTokens,
       expectedTokens: drawn.answerTokens,
       parts: [
-        {id: drawn.subject, tokens: drawn.sharedTokens},
-        {id: drawn.id, tokens: drawn.ownTokens},
+        {id: drawn.prefixKey, tokens: drawn.prefixTokens},
+        {id: drawn.id, tokens: drawn.suffixTokens},
       ],
     },
   };
@@ -155,7 +158,7 @@
 };
 
 /** One day on one fleet. */
-class Day {
+class Simulation {
   private readonly engines = new Map<string, emulatedEngine.EmulatedEngine>();
   private readonly outcome = {
     requests: 0,
@@ -172,42 +175,42 @@
     private readonly fleet: virtualFleet.VirtualFleet,
   ) {}
 
-  async play(): Promise<DayOutcome> {
+  async run(): Promise<SimulationOutcome> {
     const {clock, live} = this.fleet;
     await this.registerEngines();
     await clock.advance(SETTLE_MS);
     const startMs = clock.now();
-    let open = 0;
+    let inProgress = 0;
     const due = [...drawRequests(this.deployment)];
     const running = live();
     while (due.length > 0) {
       await clock.advance(STEP_MS);
       while ((due[0]?.atMs ?? Infinity) <= clock.now() - startMs) {
         const drawn = due.shift();
-        const place = Math.floor((drawn?.instance ?? 0) * running.length);
-        const instance = running[place];
+        const index = Math.floor((drawn?.instance ?? 0) * running.length);
+        const instance = running[index];
         if (drawn && instance) {
-          open++;
-          void this.serve(instance, drawn).then(() => open--);
+          inProgress++;
+          void this.serve(instance, drawn).then(() => inProgress--);
         }
       }
     }
-    while (open > 0) {
-      await clock.advance(TAIL_STEP_MS);
+    while (inProgress > 0) {
+      await clock.advance(DRAIN_STEP_MS);
     }
     return this.outcome;
   }
 
   private async registerEngines(): Promise<void> {
     const {clock, store} = this.fleet;
-    const {engines, shape, slowness} = this.deployment;
+    const {engines, shape, slowdowns} = this.deployment;
     const created = Array.from({length: engines}, (_, index) => {
       const id = `engine-${index}`;
       this.engines.set(
         id,
-        new emulatedEngine.EmulatedEngine(clock, shape, slowness[index] ?? 1),
+        new emulatedEngine.EmulatedEngine(clock, shape, slowdowns[index] ?? 1),
       );
-      const entry = manifests.createEntry(index, this.deployment);
+      const entry = manifests.createEngineEntry(index, this.deployment);
       return store.create(platform.STORE_KINDS.upstreams, id, entry);
     });
     await clock.advance(STEP_MS);
@@ -227,7 +230,7 @@
     const startMs = clock.now();
     this.outcome.requests++;
     this.outcome.owed += drawn.class.worth;
-    const first = await this.run(instance, drawn, cheap, false);
+    const first = await this.runModel(instance, drawn, cheap, false);
     if (!first) {
       this.outcome.lost++;
       return;
@@ -237,9 +240,9 @@
       this.outcome.lost++;
       return;
     }
-    const firstTokenMs = answer.begunAtMs - startMs;
+    const firstTokenMs = answer.firstTokenAtMs - startMs;
     const isWhole = await answer.finish();
-    this.note(drawn, answer.model, firstTokenMs, isWhole);
+    this.recordAnswer(drawn, answer.model, firstTokenMs, isWhole);
   }
 
   /**
@@ -251,10 +254,10 @@
     instance: virtualFleet.VirtualInstance,
     drawn: DrawnRequest,
     capable: deployments.EmulatedModel,
-    first: BegunAnswer,
-  ): Promise<BegunAnswer | undefined> {
-    const {opinionDeviation} = this.deployment;
-    const confidence = findConfidence(drawn, first.model, opinionDeviation);
+    first: StartedAnswer,
+  ): Promise<StartedAnswer | undefined> {
+    const {confidenceDeviation} = this.deployment;
+    const confidence = findConfidence(drawn, first.model, confidenceDeviation);
     const {get} = instance;
     const {runs} = get('capable').decide(
       first.request,
@@ -262,86 +265,96 @@
       confidence,
     );
     const second = runs
-      ? await this.run(instance, drawn, capable, true, first.giveUp)
+      ? await this.runModel(instance, drawn, capable, true, first.cancel)
       : undefined;
-    return second ?? (first.isGivenUp() ? undefined : first);
+    return second ?? (first.isCancelled() ? undefined : first);
   }
 
   /**
    * Places a run and waits for its first token; undefined where none could be
    * placed, or the caller has lost its patience.
    */
-  private async run(
+  private async runModel(
     {get, ...instance}: virtualFleet.VirtualInstance,
     drawn: DrawnRequest,
     model: deployments.EmulatedModel,
     isRepeat: boolean,
     onPlaced: () => void = () => undefined,
-  ): Promise<BegunAnswer | undefined> {
+  ): Promise<StartedAnswer | undefined> {
     const {clock} = this.fleet;
-    const wanted = createPlacementRequest(
+    const placementRequest = createPlacementRequest(
       {get, ...instance},
       drawn,
       model.name,
       isRepeat,
     );
-    const placed = wanted && get('placement').place(wanted).toMaybe();
-    const tried = placed?.extractNullable();
-    const engine = tried && this.engines.get(tried.upstream.id);
-    if (!wanted || !tried || !engine) {
+    const placed =
+      placementRequest && get('placement').place(placementRequest).toMaybe();
+    const attempt = placed?.extractNullable();
+    const engine = attempt && this.engines.get(attempt.upstream.id);
+    if (!placementRequest || !attempt || !engine) {
       return undefined;
     }
     onPlaced();
     const startedAtMs = clock.now();
-    const {sharedTokens, ownTokens, answerTokens, subject} = drawn;
+    const {prefixTokens, suffixTokens, answerTokens, prefixKey} = drawn;
     const run = engine.start({
       model,
-      subject,
-      sharedTokens,
-      ownTokens,
+      prefixKey,
+      prefixTokens,
+      suffixTokens,
       answerTokens,
     });
-    const isBegun = await within(clock, run.begun, drawn.class.patienceMs);
+    const isBegun = await settlesWithin(
+      clock,
+      run.firstToken,
+      drawn.class.timeoutMs,
+    );
     const waitMs = clock.now() - startedAtMs;
-    get('capable').recordWait(wanted.request, model.name, waitMs, !isBegun);
-    const readCost = READ_PRICE * (sharedTokens + ownTokens);
-    this.spend(model, readCost);
+    get('capable').recordWait(
+      placementRequest.request,
+      model.name,
+      waitMs,
+      !isBegun,
+    );
+    const promptCost = PROMPT_PRICE_FRACTION * (prefixTokens + suffixTokens);
+    this.addCost(model, promptCost);
     if (!isBegun) {
       run.cancel();
-      tried.settle('failed');
+      attempt.settle('failed');
       return undefined;
     }
-    tried.recordHead();
-    let isGivenUp = false;
+    attempt.recordHead();
+    let isCancelled = false;
     return {
       model,
-      request: wanted.request,
-      begunAtMs: clock.now(),
-      isGivenUp: () => isGivenUp,
-      giveUp: () => {
-        isGivenUp = true;
+      request: placementRequest.request,
+      firstTokenAtMs: clock.now(),
+      isCancelled: () => isCancelled,
+      cancel: () => {
+        isCancelled = true;
         run.cancel();
-        tried.settle('answered');
+        attempt.settle('answered');
       },
       finish: async () => {
-        const isWhole = await within(
+        const isWhole = await settlesWithin(
           clock,
           run.done,
-          drawn.class.patienceMs * 2,
+          drawn.class.timeoutMs * 2,
         );
         run.cancel();
-        tried.settle(isWhole ? 'answered' : 'failed');
-        this.spend(model, answerTokens);
+        attempt.settle(isWhole ? 'answered' : 'failed');
+        this.addCost(model, answerTokens);
         return isWhole;
       },
     };
   }
 
-  private spend({cost}: deployments.EmulatedModel, tokens: number): void {
+  private addCost({cost}: deployments.EmulatedModel, tokens: number): void {
     this.outcome.spent += (cost * tokens) / MS_PER_S;
   }
 
-  private note(
+  private recordAnswer(
     drawn: DrawnRequest,
     model: deployments.EmulatedModel,
     firstTokenMs: number,
@@ -349,7 +362,7 @@
   ): void {
     const {worth, lateWorth, latencyTargetMs} = drawn.class;
     const isLate = firstTokenMs > latencyTargetMs;
-    const isWeak = drawn.hardness > model.quality;
+    const isWeak = drawn.difficulty > model.quality;
     if (!isWhole) {
       this.outcome.lost++;
       return;
@@ -357,41 +370,41 @@
     this.outcome.late += isLate ? 1 : 0;
     this.outcome.weak += isWeak ? 1 : 0;
     this.outcome.earned +=
-      (isLate ? lateWorth : worth) * (isWeak ? WEAK_PART : 1);
+      (isLate ? lateWorth : worth) * (isWeak ? WEAK_VALUE_FRACTION : 1);
   }
 }
 
 /** An answer whose first token has come. */
-interface BegunAnswer {
+interface StartedAnswer {
   readonly model: deployments.EmulatedModel;
   readonly request: gateway.AcceptedRequest;
-  readonly begunAtMs: number;
-  readonly giveUp: () => void;
-  readonly isGivenUp: () => boolean;
+  readonly firstTokenAtMs: number;
+  readonly cancel: () => void;
+  readonly isCancelled: () => boolean;
   /** Waits for its end; says whether it came in time. */
   readonly finish: () => Promise<boolean>;
 }
 
 /** Whether something happens within so many milliseconds. */
-const within = async (
+const settlesWithin = async (
   clock: ports.Clock,
   event: Promise<void>,
   ms: number,
 ): Promise<boolean> => {
   const waiting = new AbortController();
-  const isIn = await Promise.race([
+  const isSettled = await Promise.race([
     event.then(() => true),
     clock.sleep(ms, waiting.signal).then(() => false),
   ]);
   waiting.abort('over');
-  return isIn;
+  return isSettled;
 };
 
 /** Plays a deployment's load under a policy. */
-export const playDay = async (
+export const runSimulation = async (
   deployment: deployments.Deployment,
   policy: policies.PolicyName,
-): Promise<DayOutcome> => {
+): Promise<SimulationOutcome> => {
   const fleet = await virtualFleet.startVirtualFleet({
     instances: deployment.instances,
     zones: deployment.zones,
@@ -400,5 +413,5 @@
     manifest: manifests.createManifest(deployment),
     overrides: policies.findOverrides(policy),
   });
-  return new Day(deployment, fleet).play();
+  return new Simulation(deployment, fleet).run();
 };
--- a/packages/experiment/src/virtual-fleet.ts
+++ b/packages/experiment/src/virtual-fleet.ts
@@ -12,16 +12,16 @@
 import * as purify from 'purify-ts';
 
 /** One way between two instances, in milliseconds. */
-const LINK_MS = 1;
+const LINK_DELAY_MS = 1;
 
 /** Delay of each call to the store, in milliseconds. */
-const STORE_MS = 4;
+const STORE_DELAY_MS = 4;
 
 /** Time after which a call to the store that is not answered fails, in ms. */
 const STORE_TIMEOUT_MS = 1_000;
 
 /** Instances that all settings name as seeds. */
-const SEEDS = 3;
+const SEED_COUNT = 3;
 
 const PORT = 7_000;
 
@@ -43,7 +43,7 @@
   /** Cuts the power of an instance; calls to it get no answer at all. */
   readonly cutPower: (id: string) => void;
   /** Cuts an instance off from all others and the store; it runs on. */
-  readonly cutOff: (id: string) => void;
+  readonly isolate: (id: string) => void;
   /** Ends all cuts. */
   readonly heal: () => void;
   /** Starts the process of an instance again. */
@@ -89,7 +89,7 @@
       directory: address,
       peers: address,
     },
-    seeds: Array.from({length: SEEDS}, (_, seed) => ({
+    seeds: Array.from({length: SEED_COUNT}, (_, seed) => ({
       host: hostOf(seed),
       port: PORT,
     })),
@@ -111,8 +111,8 @@
     'virtual',
   );
 
-interface Running extends VirtualInstance {
-  readonly ending: AbortController;
+interface RunningInstance extends VirtualInstance {
+  readonly stopController: AbortController;
 }
 
 /** Starts all instances within 0.3 s of each other. */
@@ -124,49 +124,49 @@
   let storeFault: fakes.StoreFault = 'none';
   const store = new fakes.MemoryObjectStore({
     clock,
-    delayMs: () => STORE_MS,
+    delayMs: () => STORE_DELAY_MS,
     fault: () => storeFault,
   });
-  const running = new Map<string, Running>();
-  const dark = new Set<string>();
-  const apart = new Set<string>();
+  const running = new Map<string, RunningInstance>();
+  const poweredOff = new Set<string>();
+  const isolated = new Set<string>();
   const network = createNetwork(clock, running, host =>
-    dark.has(host) || apart.has(host) ? 'silent' : 'reached',
+    poweredOff.has(host) || isolated.has(host) ? 'silent' : 'reached',
   );
-  const setUp = store.create(
+  const manifestCreated = store.create(
     platform.STORE_KINDS.configuration,
     platform.CONFIGURATION_NAME,
     options.manifest,
   );
-  await clock.advance(2 * STORE_MS);
-  await setUp;
+  await clock.advance(2 * STORE_DELAY_MS);
+  await manifestCreated;
 
   const start = (index: number): void => {
     const settings = createSettings(index, options);
-    const ending = new AbortController();
+    const stopController = new AbortController();
     const host = hostOf(index);
-    const wired = {
+    const gatewayOptions = {
       settings: createSource(settings),
       clock,
       random: fakes.createRandom(Math.floor(random() * 2 ** 31)),
-      store: withCut(store, async () => {
-        if (apart.has(host)) {
+      store: withIsolation(store, async () => {
+        if (isolated.has(host)) {
           await clock.sleep(STORE_TIMEOUT_MS);
         }
-        return apart.has(host);
+        return isolated.has(host);
       }),
       transport: network.transportOf(host),
     };
-    const get = amaranthknot.wireGateway(wired, options.overrides);
+    const get = amaranthknot.wireGateway(gatewayOptions, options.overrides);
     const {id, zone} = settings.instance;
-    running.set(host, {id, zone, get, ending});
+    running.set(host, {id, zone, get, stopController});
     const loops = new amaranthknot.InstanceLoops(get, {
       isReady: () => get('state').isSynced(),
       reload: () => undefined,
     });
-    void loops.followStore(ending.signal);
-    loops.exchangeWithPeers(ending.signal);
-    void loops.tick(ending.signal);
+    void loops.followStore(stopController.signal);
+    loops.exchangeWithPeers(stopController.signal);
+    void loops.tick(stopController.signal);
   };
   const indexes = Array.from({length: options.instances}, (_, index) => index);
   for (const index of indexes) {
@@ -177,7 +177,7 @@
   const indexOf = (id: string): number => Number(id.split('-').at(-1));
   const kill = (id: string): void => {
     const host = hostOf(indexOf(id));
-    running.get(host)?.ending.abort();
+    running.get(host)?.stopController.abort();
     running.delete(host);
   };
   return {
@@ -186,17 +186,17 @@
     live: () => [...running.values()],
     kill,
     cutPower: id => {
-      dark.add(hostOf(indexOf(id)));
+      poweredOff.add(hostOf(indexOf(id)));
       kill(id);
     },
-    cutOff: id => {
-      apart.add(hostOf(indexOf(id)));
+    isolate: id => {
+      isolated.add(hostOf(indexOf(id)));
     },
     heal: () => {
-      apart.clear();
+      isolated.clear();
     },
     restart: id => {
-      dark.delete(hostOf(indexOf(id)));
+      poweredOff.delete(hostOf(indexOf(id)));
       start(indexOf(id));
     },
     setStoreFault: fault => {
@@ -207,14 +207,14 @@
 };
 
 /** The store as one instance reaches it; calls across a cut fail. */
-const withCut = (
+const withIsolation = (
   store: ports.StatusStore,
-  isCut: () => Promise<boolean>,
+  isIsolated: () => Promise<boolean>,
 ): ports.StatusStore => {
   const call = async <T>(
     reach: () => Promise<ports.StoreResult<T>>,
   ): Promise<ports.StoreResult<T>> =>
-    (await isCut())
+    (await isIsolated())
       ? purify.Left({code: 'unknown', message: 'no answer'})
       : reach();
   return {
@@ -231,8 +231,8 @@
 /** Carries messages between running instances, each way in `LINK_MS`. */
 const createNetwork = (
   clock: fakes.VirtualClock,
-  running: ReadonlyMap<string, Running>,
-  findWay: (host: string) => 'reached' | 'silent',
+  running: ReadonlyMap<string, RunningInstance>,
+  findReachability: (host: string) => 'reached' | 'silent',
 ): {
   readonly transportOf: (host: string) => protocol.HttpTransport;
   readonly sentBytes: () => number;
@@ -245,10 +245,13 @@
     timeoutMs: number,
   ): ReturnType<protocol.PeerTransport> => {
     bytes += text.length;
-    await clock.sleep(LINK_MS);
+    await clock.sleep(LINK_DELAY_MS);
     const host = address.split(':')[0] ?? '';
     const peer = running.get(host);
-    if (findWay(from) === 'silent' || findWay(host) === 'silent') {
+    if (
+      findReachability(from) === 'silent' ||
+      findReachability(host) === 'silent'
+    ) {
       await clock.sleep(timeoutMs);
       return purify.Left({code: 'unknown', message: 'no answer'});
     }
@@ -260,11 +263,11 @@
       peer.get('peerServer').handle(text),
       timedOut,
     ]);
-    if (answer === undefined || peer.ending.signal.aborted) {
+    if (answer === undefined || peer.stopController.signal.aborted) {
       return purify.Left({code: 'unknown', message: 'no answer'});
     }
     bytes += answer.length;
-    await clock.sleep(LINK_MS);
+    await clock.sleep(LINK_DELAY_MS);
     return purify.Right(answer);
   };
   return {
--- a/packages/experiment/tests/emulated-engine.test.ts
+++ b/packages/experiment/tests/emulated-engine.test.ts
@@ -6,7 +6,7 @@
   slots: 2,
   stepMs: 4,
   stepMsPerRequest: 1,
-  readTokensPerMs: 100,
+  prefillTokensPerMs: 100,
   cacheTokens: 5_000,
   eventTokens: 5,
 };
@@ -20,9 +20,9 @@
 
 const REQUEST: experiment.EngineRequest = {
   model: MODEL,
-  subject: 's',
-  sharedTokens: 4_000,
-  ownTokens: 1_000,
+  prefixKey: 's',
+  prefixTokens: 4_000,
+  suffixTokens: 1_000,
   answerTokens: 20,
 };
 
@@ -33,9 +33,9 @@
   readonly timeOf: (event: Promise<void>) => Promise<number>;
 }
 
-const setUp = (slowness = 1): Setup => {
+const setUp = (slowdown = 1): Setup => {
   const clock = new fakes.VirtualClock();
-  const engine = new experiment.EmulatedEngine(clock, SHAPE, slowness);
+  const engine = new experiment.EmulatedEngine(clock, SHAPE, slowdown);
   return {
     clock,
     engine,
@@ -53,7 +53,7 @@
   it('reads the prompt, then gives its tokens step by step', async () => {
     const {engine, timeOf} = setUp();
     const run = engine.start(REQUEST);
-    const firstTokenMs = await timeOf(run.begun);
+    const firstTokenMs = await timeOf(run.firstToken);
     chai.expect(firstTokenMs).within(70, 80);
     chai.expect(await timeOf(run.done)).within(70, 80);
     chai.expect(engine.load).equal(0);
@@ -63,16 +63,16 @@
     const {engine, timeOf} = setUp();
     await timeOf(engine.start(REQUEST).done);
     const again = engine.start(REQUEST);
-    chai.expect(await timeOf(again.begun)).within(30, 40);
+    chai.expect(await timeOf(again.firstToken)).within(30, 40);
   });
 
   it('lets the beginning yield that was used the longest ago', async () => {
     const {engine, timeOf} = setUp();
-    for (const subject of ['a', 'b']) {
-      await timeOf(engine.start({...REQUEST, subject}).done);
+    for (const prefixKey of ['a', 'b']) {
+      await timeOf(engine.start({...REQUEST, prefixKey}).done);
     }
-    const first = engine.start({...REQUEST, subject: 'a'});
-    chai.expect(await timeOf(first.begun)).within(70, 80);
+    const first = engine.start({...REQUEST, prefixKey: 'a'});
+    chai.expect(await timeOf(first.firstToken)).within(70, 80);
   });
 
   it('lets requests wait for a slot', async () => {
@@ -81,7 +81,7 @@
     engine.start(REQUEST);
     const third = engine.start(REQUEST);
     chai.expect(engine.load).equal(3);
-    chai.expect(await timeOf(third.begun)).above(150);
+    chai.expect(await timeOf(third.firstToken)).above(150);
   });
 
   it('goes on with others when one is given up', async () => {
@@ -95,6 +95,8 @@
 
   it('takes as many times as long as it is slow', async () => {
     const {engine, timeOf} = setUp(3);
-    chai.expect(await timeOf(engine.start(REQUEST).begun)).within(215, 235);
+    chai
+      .expect(await timeOf(engine.start(REQUEST).firstToken))
+      .within(215, 235);
   });
 });
--- a/packages/experiment/tests/policies.test.ts
+++ b/packages/experiment/tests/run-simulation.test.ts
@@ -7,7 +7,7 @@
 ): experiment.Deployment => ({
   ...experiment.drawDeployment(3),
   instances: 3,
-  lengthMs: 3_000,
+  durationMs: 3_000,
   ...overrides,
 });
 
@@ -33,17 +33,19 @@
   for (const policy of experiment.POLICY_NAMES) {
     it(`comes out alike each time under ${policy}`, async () => {
       const deployment = createDeployment();
-      const outcome = await experiment.playDay(deployment, policy);
+      const outcome = await experiment.runSimulation(deployment, policy);
       chai.expect(outcome.requests).above(10);
       chai.expect(outcome.earned).within(0, outcome.owed);
-      chai.expect(await experiment.playDay(deployment, policy)).eql(outcome);
+      chai
+        .expect(await experiment.runSimulation(deployment, policy))
+        .eql(outcome);
     });
   }
 
   it('has fewer weak answers, at a price, with the capable model', async () => {
     const deployment = createDeployment();
-    const cheap = await experiment.playDay(deployment, 'cheap_only');
-    const capable = await experiment.playDay(deployment, 'capable_only');
+    const cheap = await experiment.runSimulation(deployment, 'cheap_only');
+    const capable = await experiment.runSimulation(deployment, 'capable_only');
     chai.expect(capable.weak).below(cheap.weak / 2);
     chai.expect(capable.spent).above(cheap.spent);
   });
@@ -53,7 +55,7 @@
   seed: number,
   policy: experiment.PolicyName,
   earned: number,
-): experiment.PlayedDay => ({
+): experiment.SimulationResult => ({
   seed,
   policy,
   outcome: {
--- a/packages/fakes/src/engine-server.ts
+++ b/packages/fakes/src/engine-server.ts
@@ -58,13 +58,13 @@
   /** When the engine turned cold on its clock; undefined while warm. */
   private coldSince: number | undefined;
   /** How it warms up once it is cold. */
-  warmth = {coldSlots: 1, warmMs: 10_000};
+  warmUp = {coldSlots: 1, warmMs: 10_000};
   /** Requests that it refused because it was cold. */
   coldRefusals = 0;
   /** Most work at once beyond what it bore at the time; 0 or less is right. */
-  worstOverload = Number.NEGATIVE_INFINITY;
+  maxOverload = Number.NEGATIVE_INFINITY;
   /** Requests that the fault still applies to. */
-  faultsLeft = Number.POSITIVE_INFINITY;
+  remainingFaults = Number.POSITIVE_INFINITY;
 
   constructor(private readonly options: EngineServerOptions) {
     this.server = hapi.server({
@@ -85,9 +85,9 @@
           in_flight: this.inFlight,
           slots: this.slots,
           serves: this.options.serves,
-          cold_slots: this.warmth.coldSlots,
-          warm_ms: this.warmth.warmMs,
-          age_ms: this.findAge(),
+          cold_slots: this.warmUp.coldSlots,
+          warm_ms: this.warmUp.warmMs,
+          age_ms: this.getAgeMs(),
         }),
       },
     ]);
@@ -99,14 +99,14 @@
   }
 
   /** Turns cold without warning. */
-  turnCold(): void {
+  makeCold(): void {
     this.coldSince = this.options.clock.now();
   }
 
   /** Work at once that it bears now. */
-  get bearable(): number {
-    const {coldSlots, warmMs} = this.warmth;
-    const progress = Math.min(1, this.findAge() / warmMs);
+  get capacity(): number {
+    const {coldSlots, warmMs} = this.warmUp;
+    const progress = Math.min(1, this.getAgeMs() / warmMs);
     return Math.floor(coldSlots + (this.slots - coldSlots) * progress);
   }
 
@@ -123,17 +123,17 @@
   }
 
   /** Time since it turned cold, in ms; long past warm when it never did. */
-  private findAge(): number {
+  private getAgeMs(): number {
     return this.coldSince === undefined
-      ? 2 * this.warmth.warmMs
+      ? 2 * this.warmUp.warmMs
       : this.options.clock.now() - this.coldSince;
   }
 
-  private takeFault(): EngineFault {
-    if (this.fault === 'none' || this.faultsLeft <= 0) {
+  private consumeFault(): EngineFault {
+    if (this.fault === 'none' || this.remainingFaults <= 0) {
       return 'none';
     }
-    this.faultsLeft--;
+    this.remainingFaults--;
     return this.fault;
   }
 
@@ -142,13 +142,13 @@
     h: hapi.ResponseToolkit,
   ): hapi.ResponseObject | Promise<hapi.ResponseObject> {
     const body = request.payload as EngineRequest;
-    const overload = this.inFlight + 1 - this.bearable;
-    this.worstOverload = Math.max(this.worstOverload, overload);
-    const fault = this.takeFault();
+    const overload = this.inFlight + 1 - this.capacity;
+    this.maxOverload = Math.max(this.maxOverload, overload);
+    const fault = this.consumeFault();
     if (fault === 'refuse' || this.inFlight >= this.slots) {
       return h.response({error: {code: 'overloaded', ran: false}}).code(429);
     }
-    if (this.inFlight >= this.bearable) {
+    if (this.inFlight >= this.capacity) {
       this.coldRefusals++;
       return h.response({error: {code: 'cold', ran: false}}).code(503);
     }
--- a/packages/fakes/src/stand-ins.ts
+++ b/packages/fakes/src/fake-deployment.ts
@@ -39,7 +39,7 @@
     : HIGH_CONFIDENCE;
 
 /** What to start. */
-export interface StandInsOptions {
+export interface FakeDeploymentOptions {
   readonly clock: ports.Clock;
   readonly instances: readonly ports.ListedInstance[];
   /** Port of the platform; 0 picks a free one. */
@@ -51,7 +51,7 @@
 }
 
 /** Running stand-ins. */
-export interface StandIns {
+export interface FakeDeployment {
   readonly platform: platformServer.PlatformServer;
   readonly engines: ReadonlyMap<string, engineServer.EngineServer>;
   readonly services: ReadonlyMap<string, serviceServer.ServiceServer>;
@@ -62,9 +62,9 @@
   Number(address.slice(address.lastIndexOf(':') + 1));
 
 /** Starts the platform and all listed engines and services. */
-export const startStandIns = async (
-  options: StandInsOptions,
-): Promise<StandIns> => {
+export const startFakeDeployment = async (
+  options: FakeDeploymentOptions,
+): Promise<FakeDeployment> => {
   const {clock, instances, freePorts, tokenMs} = options;
   const engines = new Map<string, engineServer.EngineServer>();
   const services = new Map<string, serviceServer.ServiceServer>();
@@ -93,15 +93,15 @@
       listed.push(row);
     }
   }
-  const platformStandIn = new platformServer.PlatformServer({
+  const platform = new platformServer.PlatformServer({
     clock,
     port: options.platformPort ?? 0,
     instances: listed,
   });
-  await platformStandIn.start();
-  const servers = [...engines.values(), ...services.values(), platformStandIn];
+  await platform.start();
+  const servers = [...engines.values(), ...services.values(), platform];
   return {
-    platform: platformStandIn,
+    platform,
     engines,
     services,
     stop: async () => {
--- a/packages/fakes/src/gateway/object-api-server.ts
+++ b/packages/fakes/src/gateway/object-api-server.ts
@@ -56,8 +56,8 @@
     this.server.ext('onRequest', (_request, h) =>
       this.isSilent ? h.abandon : h.continue,
     );
-    this.addReads();
-    this.addWrites();
+    this.addReadRoutes();
+    this.addWriteRoutes();
   }
 
   /** `host:port` once started. */
@@ -73,7 +73,7 @@
     await this.server.stop({timeout: 50});
   }
 
-  private addReads(): void {
+  private addReadRoutes(): void {
     this.server.route([
       {
         method: 'GET',
@@ -94,7 +94,7 @@
     ]);
   }
 
-  private addWrites(): void {
+  private addWriteRoutes(): void {
     this.server.route([
       {
         method: 'POST',
--- a/packages/fakes/src/gateway/request-reader.ts
+++ b/packages/fakes/src/gateway/request-parser.ts
@@ -1,7 +1,7 @@
 /** Reads requests with a length off a connection, for stand-ins. */
 
 /** A request as it arrived. */
-export interface ReadRequest {
+export interface ParsedRequest {
   readonly method: string;
   readonly target: string;
   /** By lower-case name; the last one of each name. */
@@ -11,7 +11,7 @@
 
 const HEAD_END = '\r\n\r\n';
 
-const readHead = (head: string): Omit<ReadRequest, 'body'> => {
+const parseHead = (head: string): Omit<ParsedRequest, 'body'> => {
   const [first = '', ...lines] = head.split('\r\n');
   const [method = '', target = ''] = first.split(' ');
   const headers: Record<string, string> = {};
@@ -23,12 +23,12 @@
 };
 
 /** Cuts a connection's bytes into requests. */
-export class RequestReader {
-  private rest = Buffer.alloc(0);
+export class RequestParser {
+  private buffered = Buffer.alloc(0);
 
-  push(chunk: Buffer): readonly ReadRequest[] {
-    this.rest = Buffer.concat([this.rest, chunk]);
-    const requests: ReadRequest[] = [];
+  push(chunk: Buffer): readonly ParsedRequest[] {
+    this.buffered = Buffer.concat([this.buffered, chunk]);
+    const requests: ParsedRequest[] = [];
     for (;;) {
       const request = this.next();
       if (!request) {
@@ -38,19 +38,19 @@
     }
   }
 
-  private next(): ReadRequest | undefined {
-    const end = this.rest.indexOf(HEAD_END);
+  private next(): ParsedRequest | undefined {
+    const end = this.buffered.indexOf(HEAD_END);
     if (end === -1) {
       return undefined;
     }
-    const head = readHead(this.rest.subarray(0, end).toString('latin1'));
+    const head = parseHead(this.buffered.subarray(0, end).toString('latin1'));
     const from = end + HEAD_END.length;
     const to = from + Number(head.headers['content-length'] ?? 0);
-    if (this.rest.length < to) {
+    if (this.buffered.length < to) {
       return undefined;
     }
-    const body = this.rest.subarray(from, to);
-    this.rest = this.rest.subarray(to);
+    const body = this.buffered.subarray(from, to);
+    this.buffered = this.buffered.subarray(to);
     return {...head, body};
   }
 }
--- a/packages/fakes/src/gateway/scripted-upstream.ts
+++ b/packages/fakes/src/gateway/scripted-upstream.ts
@@ -3,11 +3,11 @@
  * every way in which a connection can go wrong may be played.
  */
 import * as net from 'node:net';
-import * as requestReader from './request-reader.js';
+import * as requestParser from './request-parser.js';
 
 /** What a script does with one request. */
 export interface UpstreamExchange {
-  readonly request: requestReader.ReadRequest;
+  readonly request: requestParser.ParsedRequest;
   readonly socket: net.Socket;
   /** Number of the request on its connection, from 1. */
   readonly numberOnConnection: number;
@@ -21,7 +21,7 @@
 /** An upstream that follows a script. */
 export class ScriptedUpstream {
   /** Requests that arrived whole, in order. */
-  readonly requests: requestReader.ReadRequest[] = [];
+  readonly requests: requestParser.ParsedRequest[] = [];
   private readonly server: net.Server;
   private readonly sockets = new Set<net.Socket>();
   connections = 0;
@@ -51,12 +51,12 @@
   private accept(socket: net.Socket): void {
     this.connections++;
     this.sockets.add(socket);
-    const reader = new requestReader.RequestReader();
+    const parser = new requestParser.RequestParser();
     let numberOnConnection = 0;
     socket.on('error', () => undefined);
     socket.on('close', () => this.sockets.delete(socket));
     socket.on('data', chunk => {
-      for (const request of reader.push(chunk)) {
+      for (const request of parser.push(chunk)) {
         this.requests.push(request);
         numberOnConnection++;
         const number = this.requests.length;
--- a/packages/fakes/src/gateway/upstream-answers.ts
+++ b/packages/fakes/src/gateway/upstream-answers.ts
@@ -1,6 +1,6 @@
 /** Answers of scripted upstreams, as bytes. */
 import * as platform from '@amaranthknot/platform';
-import type * as requestReader from './request-reader.js';
+import type * as requestParser from './request-parser.js';
 
 /** What an answer says beyond its body. */
 export interface AnswerOptions {
@@ -15,7 +15,7 @@
 const REQUEST_ID = NAMES.requestId.toLowerCase();
 
 const formatHead = (
-  request: requestReader.ReadRequest,
+  request: requestParser.ParsedRequest,
   options: AnswerOptions,
   framing: Readonly<Record<string, string>>,
 ): string => {
@@ -33,7 +33,7 @@
 
 /** A whole answer with a length. */
 export const formatAnswer = (
-  request: requestReader.ReadRequest,
+  request: requestParser.ParsedRequest,
   body: string,
   options: AnswerOptions = {},
 ): string =>
@@ -41,7 +41,7 @@
 
 /** The head of an answer whose body comes in chunks. */
 export const formatStreamHead = (
-  request: requestReader.ReadRequest,
+  request: requestParser.ParsedRequest,
   options: AnswerOptions = {},
 ): string =>
   formatHead(request, options, {
@@ -51,7 +51,7 @@
 
 /** The head of an answer without a length, which ends with its connection. */
 export const formatUnframedHead = (
-  request: requestReader.ReadRequest,
+  request: requestParser.ParsedRequest,
   options: AnswerOptions = {},
 ): string => formatHead(request, options, {Connection: 'close'});
 
@@ -68,7 +68,7 @@
 
 /** An answer that says that the request did not run. */
 export const formatNotRun = (
-  request: requestReader.ReadRequest,
+  request: requestParser.ParsedRequest,
   status = 503,
 ): string =>
   formatAnswer(request, '', {status, headers: {[NAMES.notRun]: '1'}});
--- a/packages/fakes/src/memory-object-store.ts
+++ b/packages/fakes/src/memory-object-store.ts
@@ -39,17 +39,17 @@
 ): purify.Either<ports.StoreError, never> => purify.Left({code, message});
 
 /** Events kept for watches that fall behind. */
-const EVENT_LIMIT = 100_000;
+const MAX_EVENTS = 100_000;
 
 /** The platform's object API, held in memory. */
 export class MemoryObjectStore implements ports.StatusStore {
   private version = 0;
   /** Changes up to this version are no longer kept. */
-  private historyFrom = 0;
+  private compactedVersion = 0;
   private readonly objects = new Map<string, ports.StoredObject>();
   private readonly previous = new Map<string, ports.StoredObject>();
   private readonly events: ports.StoreEvent[] = [];
-  private wakeWatchers = new AbortController();
+  private wakeController = new AbortController();
   /** Calls so far by operation; a waiting watch counts as one. */
   readonly calls: Record<StoreOperation, number> = {
     get: 0,
@@ -70,10 +70,10 @@
     kind: string,
     name: string,
   ): Promise<ports.StoreResult<ports.StoredObject>> {
-    return this.call('get', kind, stale => {
+    return this.call('get', kind, isStale => {
       const id = key(kind, name);
       const found =
-        (stale ? this.previous.get(id) : undefined) ?? this.objects.get(id);
+        (isStale ? this.previous.get(id) : undefined) ?? this.objects.get(id);
       return found
         ? purify.Right(found)
         : failure('not_found', `no object ${id}`);
@@ -169,7 +169,7 @@
       return failure('unavailable', 'the object API is down');
     }
     for (;;) {
-      if (afterVersion < this.historyFrom) {
+      if (afterVersion < this.compactedVersion) {
         return failure('history_gone', 'these changes are no longer kept');
       }
       const events = this.events.filter(
@@ -180,7 +180,7 @@
       if (events.length > 0 || left <= 0 || signal?.aborted) {
         return purify.Right({events, version: this.version});
       }
-      const signals = [this.wakeWatchers.signal, ...(signal ? [signal] : [])];
+      const signals = [this.wakeController.signal, ...(signal ? [signal] : [])];
       await this.options.clock.sleep(left, AbortSignal.any(signals));
       if (this.fault('watch', kind) === 'down') {
         return failure('unavailable', 'the object API went down');
@@ -191,8 +191,8 @@
   /** Forgets all changes so far; watches from before get `history_gone`. */
   compact(): void {
     this.events.length = 0;
-    this.historyFrom = this.version;
-    this.wakeAll();
+    this.compactedVersion = this.version;
+    this.wakeWatchers();
   }
 
   /** Number of objects of a kind, for tests. */
@@ -276,15 +276,15 @@
 
   private publish(event: ports.StoreEvent): void {
     this.events.push(event);
-    if (this.events.length > EVENT_LIMIT) {
-      this.events.splice(0, EVENT_LIMIT / 2);
+    if (this.events.length > MAX_EVENTS) {
+      this.events.splice(0, MAX_EVENTS / 2);
     }
-    this.wakeAll();
+    this.wakeWatchers();
   }
 
-  private wakeAll(): void {
-    const watchers = this.wakeWatchers;
-    this.wakeWatchers = new AbortController();
-    watchers.abort();
+  private wakeWatchers(): void {
+    const controller = this.wakeController;
+    this.wakeController = new AbortController();
+    controller.abort();
   }
 }
--- a/packages/fakes/src/platform-server.ts
+++ b/packages/fakes/src/platform-server.ts
@@ -44,13 +44,13 @@
   /** What happens to calls from now on. */
   mode: PlatformMode = 'up';
   /** Whether the list of instances alone is not answered. */
-  isListDown = false;
+  isInstanceListDown = false;
 
   constructor(options: PlatformServerOptions) {
     this.instances = options.instances ?? [];
     this.store = new memoryObjectStore.MemoryObjectStore({
       clock: options.clock,
-      fault: () => this.faultNow(),
+      fault: () => this.getCurrentFault(),
     });
     this.server = hapi.server({
       host: '127.0.0.1',
@@ -78,7 +78,7 @@
     await this.server.stop({timeout: 100});
   }
 
-  private faultNow(): memoryObjectStore.StoreFault {
+  private getCurrentFault(): memoryObjectStore.StoreFault {
     switch (this.mode) {
       case 'up':
         return 'none';
@@ -155,7 +155,7 @@
         method: 'GET',
         path: '/instances',
         handler: (_request, h) =>
-          this.mode === 'down' || this.isListDown
+          this.mode === 'down' || this.isInstanceListDown
             ? h.response({error: 'down'}).code(503)
             : {instances: this.instances},
       },
@@ -166,7 +166,7 @@
           const {samples} = request.payload as {
             samples: readonly ports.RatingSample[];
           };
-          this.rateAll(paramsOf(request).name, samples);
+          this.rateSamples(paramsOf(request).name, samples);
           return {};
         },
       },
@@ -197,7 +197,7 @@
     this.instances = [...others, listed];
   }
 
-  private rateAll(
+  private rateSamples(
     source: string,
     samples: readonly ports.RatingSample[],
   ): void {
--- a/packages/fakes/src/virtual-clock.ts
+++ b/packages/fakes/src/virtual-clock.ts
@@ -9,7 +9,7 @@
 }
 
 /** Rounds of pending promise callbacks let through before time moves. */
-const SETTLE_ROUNDS = 20;
+const MICROTASK_ROUNDS = 20;
 
 /** A clock that a test moves; sleepers wake in order of time. */
 export class VirtualClock implements ports.Clock {
@@ -49,7 +49,7 @@
   /** Moves time on by `ms`, waking sleepers on the way. */
   async advance(ms: number): Promise<void> {
     const end = this.time + ms;
-    await this.settle();
+    await this.flushMicrotasks();
     for (;;) {
       const next = this.timers.peek();
       if (!next || next.at > end) {
@@ -58,27 +58,27 @@
       this.timers.pop();
       this.time = next.at;
       next.fire();
-      await this.settle();
+      await this.flushMicrotasks();
     }
     this.time = end;
-    await this.settle();
+    await this.flushMicrotasks();
   }
 
   /** Moves time on until `done`, at most `limitMs`; says whether it was. */
   async advanceUntil(
-    done: () => boolean,
+    isDone: () => boolean,
     limitMs: number,
     stepMs = 10,
   ): Promise<boolean> {
     const end = this.time + limitMs;
-    while (!done() && this.time < end) {
+    while (!isDone() && this.time < end) {
       await this.advance(stepMs);
     }
-    return done();
+    return isDone();
   }
 
-  private async settle(): Promise<void> {
-    for (let round = 0; round < SETTLE_ROUNDS; round++) {
+  private async flushMicrotasks(): Promise<void> {
+    for (let round = 0; round < MICROTASK_ROUNDS; round++) {
       await Promise.resolve();
     }
   }
--- a/packages/gateway/src/followed-rollout.ts
+++ b/packages/gateway/src/followed-rollout.ts
@@ -255,7 +255,7 @@
   }
 
   private logVerdict({new: n, old: o}: decisions.RolloutEvidence): void {
-    this.options.log.belief('rollout_judged', {
+    this.options.log.info('rollout_judged', {
       order: this.name,
       verdict: this.verdict,
       ageMs: Math.round(this.ageMs),
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -84,7 +84,7 @@
       // A defect must neither stop the process nor say `not run` of a request
       // that may have run.
       const reason = error instanceof Error ? error.stack : String(error);
-      this.dependencies.log.trouble('internal_error', {reason});
+      this.dependencies.log.warn('internal_error', {reason});
       this.answerInternalError(answer);
     } finally {
       this.active--;
--- a/packages/gateway/src/rollout-tracker.ts
+++ b/packages/gateway/src/rollout-tracker.ts
@@ -78,7 +78,7 @@
       isReporting: false,
     });
     const details = {order: name, state, durationMs};
-    this.options.log.belief('rollout_followed', details);
+    this.options.log.info('rollout_followed', details);
   }
 
   /** Which version a request is to run on. */
@@ -224,7 +224,7 @@
     tracked.isReporting = true;
     const {followed} = tracked;
     void report(followed.rollout, end).then(isWritten => {
-      this.options.log.belief('rollout_reported', {
+      this.options.log.info('rollout_reported', {
         order: followed.name,
         end,
         isWritten,
--- a/packages/soak/src/fault-plan.ts
+++ b/packages/soak/src/fault-plan.ts
@@ -48,36 +48,37 @@
 }
 
 /** Time between two faults; shorter than they last, so that they overlap. */
-const GAP_MS = {least: 150, most: 1_200};
+const FAULT_INTERVAL_MS = {min: 150, max: 1_200};
 
 /** How long a fault lasts. */
-const LENGTH_MS = {least: 200, most: 2_500};
+const FAULT_DURATION_MS = {min: 200, max: 2_500};
 
 /** Chance that a fault comes twice or three times in quick succession. */
-const SERIES_CHANCE = 0.3;
-const SERIES_GAP_MS = 300;
+const REPEAT_PROBABILITY = 0.3;
+const REPEAT_INTERVAL_MS = 300;
 
-const between = (
+const drawBetween = (
   random: () => number,
-  {least, most}: {readonly least: number; readonly most: number},
-): number => Math.round(least + random() * (most - least));
+  {min, max}: {readonly min: number; readonly max: number},
+): number => Math.round(min + random() * (max - min));
 
 /** Faults within `lengthMs`, in order of time. */
 export const drawFaults = (
   random: () => number,
-  lengthMs: number,
+  durationMs: number,
 ): readonly Fault[] => {
   const faults: Fault[] = [];
-  let atMs = between(random, GAP_MS);
-  while (atMs < lengthMs) {
+  let atMs = drawBetween(random, FAULT_INTERVAL_MS);
+  while (atMs < durationMs) {
     const kind = KINDS[Math.floor(random() * KINDS.length)] ?? 'kill';
-    const forMs = between(random, LENGTH_MS);
+    const forMs = drawBetween(random, FAULT_DURATION_MS);
     const target = Math.floor(random() * 1_000);
-    const times = random() < SERIES_CHANCE ? 2 + Math.floor(random() * 2) : 1;
-    for (let i = 0; i < times; i++) {
-      faults.push({kind, atMs: atMs + i * SERIES_GAP_MS, forMs, target});
+    const repeats =
+      random() < REPEAT_PROBABILITY ? 2 + Math.floor(random() * 2) : 1;
+    for (let i = 0; i < repeats; i++) {
+      faults.push({kind, atMs: atMs + i * REPEAT_INTERVAL_MS, forMs, target});
     }
-    atMs += between(random, GAP_MS);
+    atMs += drawBetween(random, FAULT_INTERVAL_MS);
   }
   return faults.sort((a, b) => a.atMs - b.atMs);
 };
--- a/packages/soak/src/gateway-process.ts
+++ b/packages/soak/src/gateway-process.ts
@@ -13,18 +13,18 @@
  * milliseconds. It runs from source here, and a signal that comes before the
  * program's first line ends any process; the loader takes a second.
  */
-const LOADING_MS = 3_000;
+const STARTUP_MS = 3_000;
 
 /** Pause before an ended process is started again, in milliseconds. */
-const RESTART_MS = 200;
+const RESTART_DELAY_MS = 200;
 
 /** A process that is kept running. */
 export class GatewayProcess {
   private child: childProcess.ChildProcess | undefined;
-  private isKept = true;
+  private shouldRestart = true;
   /** Ends that no signal of the soak explains. */
-  readonly ownEnds: string[] = [];
-  private wasSignalled = false;
+  readonly unexpectedExits: string[] = [];
+  private isExitExpected = false;
   private startedAtMs = 0;
 
   constructor(
@@ -43,42 +43,42 @@
       {stdio: ['ignore', log, log], cwd: path.dirname(MAIN)},
     );
     fs.closeSync(log);
-    this.wasSignalled = false;
+    this.isExitExpected = false;
     this.startedAtMs = Date.now();
     this.child = child;
     // Where the soak itself ends early, its processes end with it.
-    const endWithSoak = () => child.kill('SIGKILL');
-    process.once('exit', endWithSoak);
+    const killOnExit = () => child.kill('SIGKILL');
+    process.once('exit', killOnExit);
     child.once('exit', (code, signal) => {
-      if (!this.wasSignalled) {
-        this.ownEnds.push(`${this.id}: code ${code}, signal ${signal}`);
+      if (!this.isExitExpected) {
+        this.unexpectedExits.push(`${this.id}: code ${code}, signal ${signal}`);
       }
-      process.off('exit', endWithSoak);
+      process.off('exit', killOnExit);
       this.child = undefined;
-      if (this.isKept) {
+      if (this.shouldRestart) {
         setTimeout(() => {
-          this.startAgain();
-        }, RESTART_MS);
+          this.restart();
+        }, RESTART_DELAY_MS);
       }
     });
   }
 
   /** Sends a signal to this process, by its id. */
   signal(name: 'SIGKILL' | 'SIGTERM' | 'SIGSTOP' | 'SIGCONT' | 'SIGHUP'): void {
-    this.wasSignalled ||= name === 'SIGKILL' || name === 'SIGTERM';
+    this.isExitExpected ||= name === 'SIGKILL' || name === 'SIGTERM';
     this.child?.kill(name);
   }
 
   /** Tells the process that its settings may have changed. */
   reload(): void {
-    if (Date.now() - this.startedAtMs >= LOADING_MS) {
+    if (Date.now() - this.startedAtMs >= STARTUP_MS) {
       this.signal('SIGHUP');
     }
   }
 
   /** Ends the process for good. */
-  async end(): Promise<void> {
-    this.isKept = false;
+  async terminate(): Promise<void> {
+    this.shouldRestart = false;
     const {child} = this;
     if (child) {
       const ended = new Promise(resolve => child.once('exit', resolve));
@@ -88,8 +88,8 @@
     }
   }
 
-  private startAgain(): void {
-    if (this.isKept && !this.child) {
+  private restart(): void {
+    if (this.shouldRestart && !this.child) {
       this.start();
     }
   }
--- a/packages/soak/src/promises.ts
+++ b/packages/soak/src/invariants.ts
@@ -35,7 +35,7 @@
 }
 
 /** Times within which changes must hold, in milliseconds. */
-export interface PromiseBounds {
+export interface InvariantBounds {
   readonly revocationMs: number;
 }
 
@@ -45,32 +45,32 @@
   readonly runs: readonly RunRecord[];
   readonly revocations: readonly Revocation[];
   /** When all faults were over and the load went on. */
-  readonly calmFromMs: number;
-  readonly bounds: PromiseBounds;
+  readonly recoveryFromMs: number;
+  readonly bounds: InvariantBounds;
 }
 
 /** A promise that was broken. */
-export interface Breach {
+export interface Violation {
   /**
    * `always` holds however slow the machine is; `in_time` has a bound, which a
    * machine that is busy with other work can miss as well.
    */
   readonly holds: 'always' | 'in_time';
-  readonly promise: string;
+  readonly invariant: string;
   readonly id: string;
   readonly detail: string;
 }
 
 /** Statuses that say that a request has not run and never will. */
-const NOT_RUN: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
 /** Events of each stream. */
 export const STREAM_LENGTH = 12;
 
 /** Least part of requests that is served once all is calm again. */
-const CALM_PART = 0.9;
+const MIN_SERVED_FRACTION = 0.9;
 
-const ONCE: ReadonlySet<RequestKind> = new Set(['book', 'once']);
+const AT_MOST_ONCE_KINDS: ReadonlySet<RequestKind> = new Set(['book', 'once']);
 
 const runsById = (
   runs: readonly RunRecord[],
@@ -86,58 +86,68 @@
   status >= 200 && status < 300;
 
 /** Body of a whole stream for a request. */
-export const formatStream = (id: string): string =>
-  Array.from({length: STREAM_LENGTH}, (_, i) => formatPiece(id, i + 1)).join(
-    '',
-  );
+export const formatStreamBody = (id: string): string =>
+  Array.from({length: STREAM_LENGTH}, (_, i) =>
+    formatStreamEvent(id, i + 1),
+  ).join('');
 
 /** One event of a stream for a request. */
-export const formatPiece = (id: string, number: number): string =>
+export const formatStreamEvent = (id: string, number: number): string =>
   `id: ${number}\ndata: ${id} ${number}\n\n`;
 
 /** Body of a whole plain answer for a request. */
-export const formatPlain = (id: string): string => `answer of ${id}`;
+export const formatPlainBody = (id: string): string => `answer of ${id}`;
 
 const checkCaller = (
   caller: CallerRecord,
   runs: readonly RunRecord[],
-): readonly Breach[] => {
+): readonly Violation[] => {
   const {id, kind, status, body, isComplete, isSigned} = caller;
-  const breaches: Breach[] = [];
-  const note = (promise: string, detail: string) => {
-    breaches.push({
+  const violations: Violation[] = [];
+  const addViolation = (invariant: string, detail: string) => {
+    violations.push({
       holds: 'always',
-      promise,
+      invariant,
       id,
       detail: `${kind} ${status}: ${detail}`,
     });
   };
-  if (ONCE.has(kind) && runs.length > 1) {
-    note('runs at most once', `${runs.length} runs`);
+  if (AT_MOST_ONCE_KINDS.has(kind) && runs.length > 1) {
+    addViolation('runs at most once', `${runs.length} runs`);
   }
-  if (ONCE.has(kind) && NOT_RUN.has(status) && runs.length > 0) {
-    note('a refusal that says not run is true', `${runs.length} runs`);
+  if (
+    AT_MOST_ONCE_KINDS.has(kind) &&
+    NOT_RUN_STATUSES.has(status) &&
+    runs.length > 0
+  ) {
+    addViolation('a refusal that says not run is true', `${runs.length} runs`);
   }
   if (isSuccess(caller)) {
     const isStream = kind === 'stream' || kind === 'once';
-    const whole = isStream ? formatStream(id) : formatPlain(id);
+    const whole = isStream ? formatStreamBody(id) : formatPlainBody(id);
     if (isComplete && body !== whole) {
-      note('an answer is whole and its own', JSON.stringify(body.slice(0, 80)));
+      addViolation(
+        'an answer is whole and its own',
+        JSON.stringify(body.slice(0, 80)),
+      );
     }
     if (!whole.startsWith(body)) {
-      note('no piece is missing or doubled', JSON.stringify(body.slice(-80)));
+      addViolation(
+        'no piece is missing or doubled',
+        JSON.stringify(body.slice(-80)),
+      );
     }
     if (!isSigned || runs.length === 0) {
-      note("an answer is an upstream's", `${runs.length} runs`);
+      addViolation("an answer is an upstream's", `${runs.length} runs`);
     }
   }
-  return breaches;
+  return violations;
 };
 
 const checkKeys = (
   {callers, revocations, bounds}: SoakRecord,
   runs: ReadonlyMap<string, readonly RunRecord[]>,
-): readonly Breach[] =>
+): readonly Violation[] =>
   revocations.flatMap(({key, atMs}) =>
     callers
       .filter(
@@ -147,7 +157,7 @@
       .filter(({id}) => (runs.get(id) ?? []).length > 0)
       .map(({id, sentAtMs}) => ({
         holds: 'in_time' as const,
-        promise: 'a revoked key opens nothing',
+        invariant: 'a revoked key opens nothing',
         id,
         detail: `sent ${sentAtMs - atMs} ms after its revocation`,
       })),
@@ -155,30 +165,31 @@
 
 const checkRecovery = ({
   callers,
-  calmFromMs,
+  recoveryFromMs,
   revocations,
-}: SoakRecord): readonly Breach[] => {
+}: SoakRecord): readonly Violation[] => {
   const revoked = new Set(revocations.map(({key}) => key));
-  const late = callers.filter(
-    ({sentAtMs, key}) => sentAtMs >= calmFromMs && !revoked.has(key),
+  const afterRecovery = callers.filter(
+    ({sentAtMs, key}) => sentAtMs >= recoveryFromMs && !revoked.has(key),
   );
-  const served = late.filter(
+  const served = afterRecovery.filter(
     caller => isSuccess(caller) && caller.isComplete,
   ).length;
-  return served >= CALM_PART * late.length && late.length > 0
+  return served >= MIN_SERVED_FRACTION * afterRecovery.length &&
+    afterRecovery.length > 0
     ? []
     : [
         {
           holds: 'in_time',
-          promise: 'all is served again when faults are over',
+          invariant: 'all is served again when faults are over',
           id: '-',
-          detail: `${served} of ${late.length}`,
+          detail: `${served} of ${afterRecovery.length}`,
         },
       ];
 };
 
 /** All promises that a run broke. */
-export const findBreaches = (record: SoakRecord): readonly Breach[] => {
+export const findViolations = (record: SoakRecord): readonly Violation[] => {
   const runs = runsById(record.runs);
   return [
     ...record.callers.flatMap(caller =>
--- a/packages/soak/src/caller-load.ts
+++ b/packages/soak/src/load-generator.ts
@@ -1,10 +1,10 @@
 /** Callers that send requests without a pause and note what they get. */
 import * as http from 'node:http';
 import * as platform from '@amaranthknot/platform';
-import type * as promises from './promises.js';
+import type * as invariants from './invariants.js';
 
 /** Parts that callers work with. */
-export interface CallerLoadOptions {
+export interface LoadGeneratorOptions {
   /** `host:port` of the instances. */
   readonly addresses: readonly string[];
   readonly keys: readonly string[];
@@ -12,7 +12,7 @@
   readonly now: () => number;
 }
 
-const KINDS: readonly promises.RequestKind[] = [
+const KINDS: readonly invariants.RequestKind[] = [
   'read',
   'book',
   'stream',
@@ -20,36 +20,36 @@
 ];
 
 /** Time that a caller gives each request, in milliseconds. */
-const PATIENCE_MS = 3_000;
+const REQUEST_TIMEOUT_MS = 3_000;
 
 /** Pause after each request, in milliseconds. */
 const PAUSE_MS = 20;
 
 /** Callers at the same time. */
-const CALLERS = 8;
+const CONCURRENCY = 8;
 
 /** A load that runs until it is stopped. */
-export class CallerLoad {
-  readonly records: promises.CallerRecord[] = [];
+export class LoadGenerator {
+  readonly records: invariants.CallerRecord[] = [];
   private isStopped = false;
   private lastId = 0;
-  private readonly loops: Promise<void>[] = [];
+  private readonly workers: Promise<void>[] = [];
 
-  constructor(private readonly options: CallerLoadOptions) {}
+  constructor(private readonly options: LoadGeneratorOptions) {}
 
   start(): void {
-    for (let i = 0; i < CALLERS; i++) {
-      this.loops.push(this.loop());
+    for (let i = 0; i < CONCURRENCY; i++) {
+      this.workers.push(this.runWorker());
     }
   }
 
   /** Stops after the requests in progress. */
   async stop(): Promise<void> {
     this.isStopped = true;
-    await Promise.all(this.loops);
+    await Promise.all(this.workers);
   }
 
-  private async loop(): Promise<void> {
+  private async runWorker(): Promise<void> {
     // Connections are kept for as long as their process lives.
     const agent = new http.Agent({keepAlive: true});
     while (!this.isStopped) {
@@ -64,14 +64,14 @@
     return values[Math.floor(this.options.random() * length)] as T;
   }
 
-  private send(agent: http.Agent): Promise<promises.CallerRecord> {
+  private send(agent: http.Agent): Promise<invariants.CallerRecord> {
     const {addresses, keys, now} = this.options;
     const kind = this.draw(KINDS);
     const key = this.draw(keys);
     const id = `r-${++this.lastId}`;
     const [host = '', port = ''] = this.draw(addresses).split(':');
     const sentAtMs = now();
-    const signal = AbortSignal.timeout(PATIENCE_MS + 500);
+    const signal = AbortSignal.timeout(REQUEST_TIMEOUT_MS + 500);
     return new Promise(resolve => {
       let answer: http.IncomingMessage | undefined;
       const chunks: Buffer[] = [];
@@ -100,7 +100,7 @@
         headers: {
           Host: 'svc.example',
           [platform.HEADER_NAMES.requestId]: id,
-          [platform.HEADER_NAMES.timeLeft]: String(PATIENCE_MS),
+          [platform.HEADER_NAMES.timeLeft]: String(REQUEST_TIMEOUT_MS),
           [platform.HEADER_NAMES.apiKey]: key,
           'Content-Length': '0',
         },
--- a/packages/soak/src/loopback-proxy.ts
+++ b/packages/soak/src/loopback-proxy.ts
@@ -48,23 +48,27 @@
     this.sockets.forEach(socket => socket.resetAndDestroy());
   }
 
-  private accept(inner: net.Socket): void {
-    this.track(inner);
+  private accept(client: net.Socket): void {
+    this.track(client);
     if (this.mode === 'refusing') {
-      inner.resetAndDestroy();
+      client.resetAndDestroy();
       return;
     }
     const [host = '', port = ''] = this.target.split(':');
-    const outer = net.connect(Number(port), host);
-    this.track(outer);
-    this.pass(inner, outer, () => this.mode !== 'silent');
-    this.pass(outer, inner, () => {
+    const target = net.connect(Number(port), host);
+    this.track(target);
+    this.forward(client, target, () => this.mode !== 'silent');
+    this.forward(target, client, () => {
       return this.mode !== 'silent' && this.mode !== 'one_way';
     });
   }
 
-  private pass(from: net.Socket, to: net.Socket, isOpen: () => boolean): void {
-    const later = (act: () => void) => {
+  private forward(
+    from: net.Socket,
+    to: net.Socket,
+    isOpen: () => boolean,
+  ): void {
+    const schedule = (act: () => void) => {
       // A cut loses what comes meanwhile; a delay keeps the order.
       if (!isOpen()) {
         return;
@@ -76,10 +80,10 @@
       }
     };
     from.on('data', (chunk: Buffer) => {
-      later(() => !to.destroyed && to.write(chunk));
+      schedule(() => !to.destroyed && to.write(chunk));
     });
     from.on('end', () => {
-      later(() => to.end());
+      schedule(() => to.end());
     });
     from.on('close', () => {
       if (from.errored) {
--- a/packages/soak/src/main.ts
+++ b/packages/soak/src/main.ts
@@ -29,20 +29,20 @@
 const MS_PER_MINUTE = 60_000;
 
 /** Time in which faults begin, in milliseconds. */
-const LENGTH_MS = 8_000;
+const DURATION_MS = 8_000;
 
 const UPSTREAMS = 3;
 
 const print = (result: runSoak.SoakResult): void => {
-  const {seed, requests, served, faults, breaches, folder} = result;
+  const {seed, requests, served, faults, violations, folder} = result;
   process.stdout.write(
     `seed ${seed}: ${faults.length} faults, ${requests} requests, ` +
-      `${served} served, ${breaches.length} broken\n`,
+      `${served} served, ${violations.length} broken\n`,
   );
-  for (const {promise, id, detail} of breaches) {
-    process.stdout.write(`  ${promise}: ${id}, ${detail}; logs ${folder}\n`);
+  for (const {invariant, id, detail} of violations) {
+    process.stdout.write(`  ${invariant}: ${id}, ${detail}; logs ${folder}\n`);
   }
-  if (breaches.length === 0) {
+  if (violations.length === 0) {
     fs.rmSync(folder, {recursive: true});
   }
 };
@@ -55,19 +55,19 @@
   const last = minutes === undefined ? flags.seed + flags.seeds : Infinity;
   let next = flags.seed;
   let broken = 0;
-  const play = async (): Promise<void> => {
+  const runSeeds = async (): Promise<void> => {
     while (next < last && Date.now() < end) {
       const result = await runSoak.runSoak({
         seed: next++,
         instances,
         upstreams: UPSTREAMS,
-        lengthMs: LENGTH_MS,
+        durationMs: DURATION_MS,
       });
       print(result);
-      broken += result.breaches.length > 0 ? 1 : 0;
+      broken += result.violations.length > 0 ? 1 : 0;
     }
   };
-  await Promise.all(Array.from({length: flags.atOnce}, play));
+  await Promise.all(Array.from({length: flags.atOnce}, runSeeds));
   process.stdout.write(`${broken} of ${next - flags.seed} seeds broken\n`);
   // A run that ended can leave the stand-ins busy; see docs/measurements.
   process.exit(broken > 0 ? 1 : 0);
--- a/packages/soak/src/run-soak.ts
+++ b/packages/soak/src/run-soak.ts
@@ -6,11 +6,11 @@
 import * as fakes from '@amaranthknot/fakes';
 import * as platform from '@amaranthknot/platform';
 import * as ports from '@amaranthknot/ports';
-import * as callerLoad from './caller-load.js';
+import * as loadGenerator from './load-generator.js';
 import * as faultPlan from './fault-plan.js';
 import * as gatewayProcess from './gateway-process.js';
 import * as loopbackProxy from './loopback-proxy.js';
-import * as promises from './promises.js';
+import * as invariants from './invariants.js';
 import * as documents from './soak-documents.js';
 import * as soakUpstream from './soak-upstream.js';
 
@@ -20,7 +20,7 @@
   readonly instances: number;
   readonly upstreams: number;
   /** Time in which faults begin, in milliseconds. */
-  readonly lengthMs: number;
+  readonly durationMs: number;
 }
 
 /** What one run came to. */
@@ -29,7 +29,7 @@
   readonly requests: number;
   readonly served: number;
   readonly faults: readonly faultPlan.Fault[];
-  readonly breaches: readonly promises.Breach[];
+  readonly violations: readonly invariants.Violation[];
   /** Folder with the logs of all processes. */
   readonly folder: string;
 }
@@ -41,7 +41,7 @@
 const SETTLE_MS = 6_000;
 
 /** Time of load that is checked for recovery, in milliseconds. */
-const CALM_MS = 2_000;
+const RECOVERY_CHECK_MS = 2_000;
 
 const {configuration: CONFIGURATION, upstreams: UPSTREAMS} =
   platform.STORE_KINDS;
@@ -101,11 +101,11 @@
   private readonly storeServer = new fakes.ObjectApiServer(this.clock);
   private readonly instances: Instance[] = [];
   private readonly upstreams: Upstream[] = [];
-  private readonly runs: promises.RunRecord[] = [];
-  private readonly revocations: promises.Revocation[] = [];
+  private readonly runs: invariants.RunRecord[] = [];
+  private readonly revocations: invariants.Revocation[] = [];
   private keys = KEYS;
   private version = 1;
-  private load: callerLoad.CallerLoad | undefined;
+  private load: loadGenerator.LoadGenerator | undefined;
 
   constructor(private readonly options: SoakOptions) {
     this.random = fakes.createRandom(options.seed);
@@ -113,38 +113,40 @@
   }
 
   async run(): Promise<SoakResult> {
-    const {seed, lengthMs} = this.options;
-    const faults = faultPlan.drawFaults(this.random, lengthMs);
+    const {seed, durationMs} = this.options;
+    const faults = faultPlan.drawFaults(this.random, durationMs);
     try {
       await this.start();
       const load = this.load;
       if (!load) {
         throw new Error('a soak that started has a load');
       }
-      await this.playFaults(faults);
-      this.heal();
+      await this.injectFaults(faults);
+      this.clearFaults();
       await this.clock.sleep(SETTLE_MS);
-      const calmFromMs = this.clock.now();
-      await this.clock.sleep(CALM_MS);
+      const recoveryFromMs = this.clock.now();
+      await this.clock.sleep(RECOVERY_CHECK_MS);
       await load.stop();
-      const breaches = promises.findBreaches({
+      const violations = invariants.findViolations({
         callers: load.records,
         runs: this.runs,
         revocations: this.revocations,
-        calmFromMs,
+        recoveryFromMs,
         bounds: documents.SOAK_BOUNDS,
       });
-      const ownEnds = this.instances.flatMap(({process}) => process.ownEnds);
+      const unexpectedExits = this.instances.flatMap(
+        ({process}) => process.unexpectedExits,
+      );
       return {
         seed,
         requests: load.records.length,
         served: load.records.filter(({status}) => status === 200).length,
         faults,
-        breaches: [
-          ...breaches,
-          ...ownEnds.map(detail => ({
+        violations: [
+          ...violations,
+          ...unexpectedExits.map(detail => ({
             holds: 'always' as const,
-            promise: 'no process ends by itself',
+            invariant: 'no process ends by itself',
             id: '-',
             detail,
           })),
@@ -167,8 +169,8 @@
       await this.addUpstream(i);
     }
     const addresses = await this.startInstances();
-    await this.waitForAll(addresses);
-    this.load = new callerLoad.CallerLoad({
+    await this.waitUntilListening(addresses);
+    this.load = new loadGenerator.LoadGenerator({
       addresses,
       keys: KEYS,
       random: this.random,
@@ -229,8 +231,10 @@
     return listens.map(({callers}) => callers);
   }
 
-  private async waitForAll(addresses: readonly string[]): Promise<void> {
-    const isThere = (address: string): Promise<boolean> =>
+  private async waitUntilListening(
+    addresses: readonly string[],
+  ): Promise<void> {
+    const isListening = (address: string): Promise<boolean> =>
       new Promise(resolve => {
         const [host = '', port = ''] = address.split(':');
         const socket = net.connect(Number(port), host);
@@ -241,29 +245,31 @@
         socket.once('error', () => resolve(false));
       });
     for (const address of addresses) {
-      while (!(await isThere(address))) {
+      while (!(await isListening(address))) {
         await this.clock.sleep(50);
       }
     }
   }
 
-  private async playFaults(faults: readonly faultPlan.Fault[]): Promise<void> {
+  private async injectFaults(
+    faults: readonly faultPlan.Fault[],
+  ): Promise<void> {
     const startedAt = this.clock.now();
-    const lasting: Promise<void>[] = [];
+    const inProgress: Promise<void>[] = [];
     for (const fault of faults) {
       await this.clock.sleep(startedAt + fault.atMs - this.clock.now());
-      lasting.push(this.playFault(fault));
+      inProgress.push(this.injectFault(fault));
     }
-    await Promise.all(lasting);
+    await Promise.all(inProgress);
   }
 
-  private async playFault({
+  private async injectFault({
     kind,
     forMs,
     target,
   }: faultPlan.Fault): Promise<void> {
-    const {process, storeProxy} = at(this.instances, target);
-    const upstream = at(this.upstreams, target);
+    const {process, storeProxy} = getByIndex(this.instances, target);
+    const upstream = getByIndex(this.upstreams, target);
     switch (kind) {
       case 'kill':
         process.signal('SIGKILL');
@@ -280,22 +286,22 @@
         process.signal('SIGCONT');
         return;
       case 'store_silent':
-        return this.harm(storeProxy, 'silent', forMs);
+        return this.disruptProxy(storeProxy, 'silent', forMs);
       case 'store_refusing':
-        return this.harm(storeProxy, 'refusing', forMs);
+        return this.disruptProxy(storeProxy, 'refusing', forMs);
       case 'store_cut':
-        return this.harm(storeProxy, 'one_way', forMs);
+        return this.disruptProxy(storeProxy, 'one_way', forMs);
       case 'store_delayed':
-        return this.harm(storeProxy, 'delayed', forMs);
+        return this.disruptProxy(storeProxy, 'delayed', forMs);
       case 'upstream_reset':
         upstream.proxy.resetAll();
         return;
       case 'upstream_silent':
-        return this.harm(upstream.proxy, 'silent', forMs);
+        return this.disruptProxy(upstream.proxy, 'silent', forMs);
       case 'upstream_one_way':
-        return this.harm(upstream.proxy, 'one_way', forMs);
+        return this.disruptProxy(upstream.proxy, 'one_way', forMs);
       case 'upstream_delayed':
-        return this.harm(upstream.proxy, 'delayed', forMs);
+        return this.disruptProxy(upstream.proxy, 'delayed', forMs);
       case 'upstream_leaves':
         return this.replaceUpstream(upstream, forMs);
       case 'configuration_change':
@@ -305,7 +311,7 @@
     }
   }
 
-  private async harm(
+  private async disruptProxy(
     proxy: loopbackProxy.LoopbackProxy,
     mode: loopbackProxy.ProxyMode,
     forMs: number,
@@ -354,15 +360,15 @@
   }
 
   private async revokeKey(): Promise<void> {
-    const [key, ...left] = this.keys;
-    if (key === undefined || left.length === 0) {
+    const [key, ...remaining] = this.keys;
+    if (key === undefined || remaining.length === 0) {
       return;
     }
-    await this.changeConfiguration(left);
+    await this.changeConfiguration(remaining);
     this.revocations.push({key, atMs: this.clock.now()});
   }
 
-  private heal(): void {
+  private clearFaults(): void {
     for (const {process, storeProxy} of this.instances) {
       process.signal('SIGCONT');
       storeProxy.mode = 'open';
@@ -374,7 +380,7 @@
 
   private async stop(): Promise<void> {
     await this.load?.stop();
-    await Promise.all(this.instances.map(({process}) => process.end()));
+    await Promise.all(this.instances.map(({process}) => process.terminate()));
     await Promise.all(this.instances.map(({storeProxy}) => storeProxy.stop()));
     await Promise.all(this.upstreams.map(({proxy}) => proxy.stop()));
     await Promise.all(this.upstreams.map(({server}) => server.stop()));
@@ -382,7 +388,7 @@
   }
 }
 
-const at = <T>(values: readonly T[], index: number): T =>
+const getByIndex = <T>(values: readonly T[], index: number): T =>
   values[index % values.length] as T;
 
 /** Plays one seed. */
--- a/packages/soak/src/soak-upstream.ts
+++ b/packages/soak/src/soak-upstream.ts
@@ -1,7 +1,7 @@
 /** An upstream that runs requests, fails some of them, and notes every run. */
 import * as fakes from '@amaranthknot/fakes';
 import * as platform from '@amaranthknot/platform';
-import * as promises from './promises.js';
+import * as invariants from './invariants.js';
 
 const NAMES = platform.HEADER_NAMES;
 
@@ -10,12 +10,12 @@
 const LAST_EVENT_ID = NAMES.lastEventId.toLowerCase();
 
 /** Shares of requests that end badly; small, so that most days go on. */
-const NOT_RUN_SHARE = 0.04;
-const ANSWER_LOST_SHARE = 0.03;
-const CUT_SHARE = 0.03;
+const NOT_RUN_FRACTION = 0.04;
+const ANSWER_LOST_FRACTION = 0.03;
+const CUT_FRACTION = 0.03;
 
 /** Time that a request takes, in milliseconds. */
-const WORK_MS = {least: 5, most: 40};
+const WORK_MS = {min: 5, max: 40};
 
 /** Time between two events of a stream, in milliseconds. */
 const EVENT_MS = 20;
@@ -25,7 +25,7 @@
   (
     findId: () => string,
     random: () => number,
-    note: (run: promises.RunRecord) => void,
+    record: (run: invariants.RunRecord) => void,
     now: () => number,
   ): fakes.UpstreamScript =>
   ({request, socket}) => {
@@ -35,16 +35,16 @@
       socket.write(fakes.formatNotRun(request, 421));
       return;
     }
-    if (random() < NOT_RUN_SHARE) {
+    if (random() < NOT_RUN_FRACTION) {
       socket.write(fakes.formatNotRun(request));
       return;
     }
     const requestId = headers[REQUEST_ID] ?? '';
     const lastEventId = Number(headers[LAST_EVENT_ID] ?? 0);
-    note({id: requestId, upstream: id, atMs: now(), lastEventId});
-    const workMs = WORK_MS.least + random() * (WORK_MS.most - WORK_MS.least);
-    const isLost = random() < ANSWER_LOST_SHARE;
-    const isCut = random() < CUT_SHARE;
+    record({id: requestId, upstream: id, atMs: now(), lastEventId});
+    const workMs = WORK_MS.min + random() * (WORK_MS.max - WORK_MS.min);
+    const isLost = random() < ANSWER_LOST_FRACTION;
+    const isCut = random() < CUT_FRACTION;
     setTimeout(() => {
       if (isLost) {
         socket.resetAndDestroy();
@@ -54,7 +54,7 @@
       ) {
         const text = fakes.formatAnswer(
           request,
-          promises.formatPlain(requestId),
+          invariants.formatPlainBody(requestId),
         );
         socket.write(isCut ? text.slice(0, -3) : text);
         if (isCut) {
@@ -70,15 +70,15 @@
       if (socket.destroyed) {
         return;
       }
-      if (from > promises.STREAM_LENGTH) {
+      if (from > invariants.STREAM_LENGTH) {
         socket.write(fakes.LAST_CHUNK);
         return;
       }
-      if (breaksOff && from > promises.STREAM_LENGTH / 2) {
+      if (breaksOff && from > invariants.STREAM_LENGTH / 2) {
         socket.resetAndDestroy();
         return;
       }
-      socket.write(fakes.formatChunk(promises.formatPiece(name, from)));
+      socket.write(fakes.formatChunk(invariants.formatStreamEvent(name, from)));
       setTimeout(() => {
         writeEvents(name, from + 1, breaksOff);
       }, EVENT_MS);
--- a/packages/soak/tests/soak.test.ts
+++ b/packages/soak/tests/run-soak.test.ts
@@ -17,9 +17,9 @@
       seed: 1,
       instances: 3,
       upstreams: 3,
-      lengthMs: 3_000,
+      durationMs: 3_000,
     });
-    const broken = result.breaches.filter(({holds}) => holds === 'always');
+    const broken = result.violations.filter(({holds}) => holds === 'always');
     chai.expect(broken).eql([]);
     chai.expect(result.served).above(0);
   });
--- a/packages/telemetry/src/decision-log.ts
+++ b/packages/telemetry/src/decision-log.ts
@@ -32,7 +32,7 @@
   | 'caller_left';
 
 /** What changes what the instance believes, and its life. */
-export type BeliefEvent =
+export type InstanceEvent =
   | 'instance_started'
   /** A peer was asked at the start for what it knows of the store. */
   | 'seed_asked'
@@ -72,7 +72,7 @@
   | 'internal_error';
 
 /** Everything that is logged. */
-export type LogEvent = RequestEvent | BeliefEvent;
+export type LogEvent = RequestEvent | InstanceEvent;
 
 /** Inputs and outcome of a decision; ages in milliseconds. */
 export type Details = Readonly<
@@ -98,24 +98,24 @@
  * Requests a second that are logged whole. At ten lines a request and some
  * 300 bytes a line that is 150 KB/s, and under a hundredth of a core.
  */
-const REQUESTS_PER_SECOND = 50;
+const SAMPLED_REQUESTS_PER_SECOND = 50;
 
 /**
  * Lines a second about failed and refused requests beyond those that are
  * logged whole: a day on which everything fails must not fill the disk.
  */
-const FAILURES_PER_SECOND = 100;
+const FAILURE_LINES_PER_SECOND = 100;
 
 /** Bytes that the output's reader may be behind, half a megabyte. */
 const MAX_BACKLOG_BYTES = 524_288;
 
 /** Longest time between two lines that tell how many were dropped, in ms. */
-const DROPPED_INTERVAL_MS = 1_000;
+const DROPPED_REPORT_INTERVAL_MS = 1_000;
 
 const MS_PER_S = 1_000;
 
 /** Tokens that come at a rate; at most a second's worth is saved up. */
-class Rate {
+class TokenBucket {
   private tokens: number;
   private lastMs: number;
 
@@ -128,8 +128,8 @@
   }
 
   take(nowMs: number): boolean {
-    const earned = ((nowMs - this.lastMs) * this.perSecond) / MS_PER_S;
-    this.tokens = Math.min(this.perSecond, this.tokens + earned);
+    const refill = ((nowMs - this.lastMs) * this.perSecond) / MS_PER_S;
+    this.tokens = Math.min(this.perSecond, this.tokens + refill);
     this.lastMs = nowMs;
     if (this.tokens < 1) {
       return false;
@@ -167,16 +167,16 @@
 /** The log of one instance. */
 export class DecisionLog {
   private readonly lines: winston.Logger;
-  private readonly requests: Rate;
-  private readonly failures: Rate;
+  private readonly requests: TokenBucket;
+  private readonly failures: TokenBucket;
   private dropped = 0;
-  private droppedToldMs: number;
+  private droppedReportedAtMs: number;
 
   constructor(private readonly options: DecisionLogOptions) {
     const now = options.now();
-    this.requests = new Rate(REQUESTS_PER_SECOND, now);
-    this.failures = new Rate(FAILURES_PER_SECOND, now);
-    this.droppedToldMs = now;
+    this.requests = new TokenBucket(SAMPLED_REQUESTS_PER_SECOND, now);
+    this.failures = new TokenBucket(FAILURE_LINES_PER_SECOND, now);
+    this.droppedReportedAtMs = now;
     const output = options.output ?? process.stdout;
     this.lines = winston.createLogger({
       level: options.level,
@@ -197,20 +197,20 @@
   }
 
   /** Logs a change of what the instance believes. */
-  belief(event: BeliefEvent, details: Details = {}): void {
+  info(event: InstanceEvent, details: Details = {}): void {
     this.options.onEvent?.(event);
     this.write('info', event, details);
   }
 
   /** Logs something that the instance could not do. */
-  trouble(event: BeliefEvent, details: Details = {}): void {
+  warn(event: InstanceEvent, details: Details = {}): void {
     this.options.onEvent?.(event);
     this.write('warn', event, details);
   }
 
   /** The log of one request; decides once whether it is logged whole. */
   forRequest(id: string): RequestLog {
-    const isWhole = this.requests.take(this.options.now());
+    const isSampled = this.requests.take(this.options.now());
     const count = (event: RequestEvent, {reason}: Details) =>
       this.options.onEvent?.(
         event,
@@ -219,13 +219,13 @@
     return {
       step: (event, details) => {
         count(event, details);
-        if (isWhole) {
+        if (isSampled) {
           this.write('info', event, {request: id, ...details});
         }
       },
       failure: (event, details) => {
         count(event, details);
-        if (isWhole || this.failures.take(this.options.now())) {
+        if (isSampled || this.failures.take(this.options.now())) {
           this.write('warn', event, {request: id, ...details});
         } else {
           this.dropped++;
@@ -235,12 +235,15 @@
   }
 
   /** Tells how many lines were dropped, if any. */
-  tick(): void {
+  reportDroppedLines(): void {
     const now = this.options.now();
-    if (this.dropped > 0 && now - this.droppedToldMs >= DROPPED_INTERVAL_MS) {
+    if (
+      this.dropped > 0 &&
+      now - this.droppedReportedAtMs >= DROPPED_REPORT_INTERVAL_MS
+    ) {
       const lines = this.dropped;
       this.dropped = 0;
-      this.droppedToldMs = now;
+      this.droppedReportedAtMs = now;
       this.write('warn', 'log_lines_dropped', {lines});
     }
   }
--- a/packages/telemetry/src/event-ring.ts
+++ b/packages/telemetry/src/event-ring.ts
@@ -52,7 +52,7 @@
   readonly name: EventName;
   readonly instance: string;
   readonly sequence: number;
-  readonly stamp: hybridClock.Stamp;
+  readonly stamp: hybridClock.Timestamp;
 }
 
 /** Events kept for each process; the oldest go first. */
--- a/packages/telemetry/src/explain-request.ts
+++ b/packages/telemetry/src/explain-request.ts
@@ -21,7 +21,7 @@
 }
 
 /** One request's story. */
-export interface RequestStory {
+export interface RequestExplanation {
   /** Decisions about the request, in order of time. */
   readonly lines: readonly LogLine[];
   /** What the instances concerned believed at their first decision. */
@@ -84,7 +84,7 @@
 export const explainRequest = (
   all: readonly LogLine[],
   request: string,
-): RequestStory | undefined => {
+): RequestExplanation | undefined => {
   const ordered = [...all].sort((a, b) => a.atMs - b.atMs);
   const lines = ordered.filter(line => line.request === request);
   if (lines.length === 0) {
@@ -104,7 +104,7 @@
 ): readonly HeldBelief[] => {
   const own = lines.filter(line => line.instance === instance);
   const fromMs = own[0]?.atMs ?? 0;
-  const tried = [...new Set(own.map(({details}) => details['upstream']))];
+  const attempted = [...new Set(own.map(({details}) => details['upstream']))];
   const latest = new Map<string, LogLine>();
   for (const line of ordered) {
     if (line.instance !== instance || line.atMs > fromMs) {
@@ -113,10 +113,12 @@
     if (GENERAL_BELIEFS.has(line.event)) {
       latest.set(line.event, line);
     } else if (UPSTREAM_BELIEFS.has(line.event)) {
-      const named = tried.filter(upstream => names(line, upstream));
-      named.forEach(upstream => {
+      const mentioned = attempted.filter(upstream =>
+        mentionsUpstream(line, upstream),
+      );
+      mentioned.forEach(upstream => {
         const about = `${line.event} ${String(upstream)}`;
-        latest.set(about, keepNamed(line, upstream));
+        latest.set(about, filterLists(line, upstream));
       });
     }
   }
@@ -124,7 +126,7 @@
 };
 
 /** Of lists in a line, what concerns an upstream; there may be dozens in one. */
-const keepNamed = (line: LogLine, upstream: unknown): LogLine => {
+const filterLists = (line: LogLine, upstream: unknown): LogLine => {
   const details = Object.entries(line.details).flatMap(([name, value]) => {
     if (!Array.isArray(value)) {
       return [[name, value] as const];
@@ -135,7 +137,7 @@
 };
 
 /** Whether a line is about an upstream, alone or among others. */
-const names = ({details}: LogLine, upstream: unknown): boolean =>
+const mentionsUpstream = ({details}: LogLine, upstream: unknown): boolean =>
   Object.values(details).some(
     value =>
       value === upstream || (Array.isArray(value) && value.includes(upstream)),
@@ -147,7 +149,10 @@
     .join(' ');
 
 /** Writes a story as text: beliefs with their age, then what was decided. */
-export const formatStory = ({lines, beliefs}: RequestStory): string => {
+export const formatExplanation = ({
+  lines,
+  beliefs,
+}: RequestExplanation): string => {
   const startMs = lines[0]?.atMs ?? 0;
   const believed = beliefs.map(
     ({line, ageMs}) =>
--- a/packages/telemetry/src/gateway-metrics.ts
+++ b/packages/telemetry/src/gateway-metrics.ts
@@ -53,7 +53,7 @@
     registers: [this.registry],
   });
 
-  private readonly firstByte = new client.Histogram({
+  private readonly firstByteLatency = new client.Histogram({
     name: 'amaranthknot_first_byte_seconds',
     help: 'Seconds from a request to the first byte of its answer.',
     labelNames: ['kind'],
@@ -61,7 +61,7 @@
     registers: [this.registry],
   });
 
-  private readonly whole = new client.Histogram({
+  private readonly requestDuration = new client.Histogram({
     name: 'amaranthknot_request_seconds',
     help: 'Seconds from a request to the end of its answer.',
     labelNames: ['kind'],
@@ -69,44 +69,48 @@
     registers: [this.registry],
   });
 
-  /** @param read called at each collection. */
-  constructor(read: () => GaugeReadings) {
+  /** @param readGauges called at each collection. */
+  constructor(readGauges: () => GaugeReadings) {
     this.addGauge('requests_in_progress', 'Requests in progress.', () => {
-      return read().inProgress;
+      return readGauges().inProgress;
     });
     this.addGauge(
       'configuration_age_seconds',
       'Seconds since the configuration was confirmed; -1 before any.',
-      () => toSeconds(read().configurationAgeMs),
+      () => toSeconds(readGauges().configurationAgeMs),
+    );
+    this.addGauge(
+      'upstreams',
+      'Upstreams known.',
+      () => readGauges().upstreams,
     );
-    this.addGauge('upstreams', 'Upstreams known.', () => read().upstreams);
     this.addGauge(
       'upstreams_age_seconds',
       'Seconds since the list of upstreams was confirmed; -1 before any.',
-      () => toSeconds(read().upstreamsAgeMs),
+      () => toSeconds(readGauges().upstreamsAgeMs),
     );
     this.addGauge(
       'serving_instances',
       'Instances that take callers, as this one knows them.',
-      () => read().servingInstances,
+      () => readGauges().servingInstances,
     );
   }
 
   /** Counts a decision about a request, or a change of belief. */
-  noteEvent(event: decisionLog.LogEvent, reason = ''): void {
+  recordEvent(event: decisionLog.LogEvent, reason = ''): void {
     this.events.inc({event, reason});
   }
 
   /** Counts a call to the store. */
-  noteStoreCall(kind: string, outcome: string): void {
+  recordStoreCall(kind: string, outcome: string): void {
     this.storeCalls.inc({kind, outcome});
   }
 
   /** Notes a request at its end. */
-  noteRequest({kind, firstByteMs, tookMs}: RequestSample): void {
-    this.whole.observe({kind}, tookMs / MS_PER_S);
+  recordRequest({kind, firstByteMs, tookMs}: RequestSample): void {
+    this.requestDuration.observe({kind}, tookMs / MS_PER_S);
     if (firstByteMs !== undefined) {
-      this.firstByte.observe({kind}, firstByteMs / MS_PER_S);
+      this.firstByteLatency.observe({kind}, firstByteMs / MS_PER_S);
     }
   }
 
--- a/packages/telemetry/src/hybrid-clock.ts
+++ b/packages/telemetry/src/hybrid-clock.ts
@@ -5,24 +5,24 @@
  */
 
 /** A stamp; sorts by `wallMs`, then `counter`. */
-export interface Stamp {
+export interface Timestamp {
   readonly wallMs: number;
   readonly counter: number;
 }
 
 /** Orders two stamps. */
-export const compareStamps = (a: Stamp, b: Stamp): number =>
+export const compareTimestamps = (a: Timestamp, b: Timestamp): number =>
   a.wallMs - b.wallMs || a.counter - b.counter;
 
 /** Issues stamps for one process. */
 export class HybridClock {
-  private last: Stamp = {wallMs: 0, counter: 0};
+  private last: Timestamp = {wallMs: 0, counter: 0};
 
   /** @param wallTime wall time in milliseconds since the epoch. */
   constructor(private readonly wallTime: () => number) {}
 
   /** A stamp after all issued and seen so far. */
-  next(): Stamp {
+  next(): Timestamp {
     const wallMs = Math.max(this.wallTime(), this.last.wallMs);
     const counter = wallMs === this.last.wallMs ? this.last.counter + 1 : 0;
     this.last = {wallMs, counter};
@@ -30,8 +30,8 @@
   }
 
   /** Takes in a stamp from another process. */
-  observe(stamp: Stamp): void {
-    if (compareStamps(stamp, this.last) > 0) {
+  observe(stamp: Timestamp): void {
+    if (compareTimestamps(stamp, this.last) > 0) {
       this.last = stamp;
     }
   }
--- a/packages/telemetry/src/timeline.ts
+++ b/packages/telemetry/src/timeline.ts
@@ -36,7 +36,7 @@
     .filter(event => matches(event, filter))
     .sort(
       (a, b) =>
-        hybridClock.compareStamps(a.stamp, b.stamp) ||
+        hybridClock.compareTimestamps(a.stamp, b.stamp) ||
         (a.instance < b.instance ? -1 : 1),
     );
 
--- a/packages/telemetry/tests/decision-log.test.ts
+++ b/packages/telemetry/tests/decision-log.test.ts
@@ -3,13 +3,13 @@
 import * as telemetry from '@amaranthknot/telemetry';
 
 /** Requests that are sent into the log in one second. */
-const FLOOD = 2_000;
+const FLOOD_REQUESTS = 2_000;
 
 /** Bytes of log that one second may bring, whatever happens. */
-const MOST_BYTES = 400_000;
+const MAX_BYTES = 400_000;
 
 const flood = (log: telemetry.DecisionLog): void => {
-  for (let i = 0; i < FLOOD; i++) {
+  for (let i = 0; i < FLOOD_REQUESTS; i++) {
     const request = log.forRequest(`request-${i}`);
     request.step('request_placed', {upstream: 'i-1', zone: 'zone-a'});
     request.failure('request_refused', {reason: 'no_upstream'});
@@ -38,15 +38,15 @@
     });
     flood(log);
     nowMs = 1_500;
-    log.tick();
+    log.reportDroppedLines();
     await new Promise(resolve => setImmediate(resolve));
     const lines = text
       .trim()
       .split('\n')
       .map(line => JSON.parse(line) as Record<string, unknown>);
-    chai.expect(text.length).below(MOST_BYTES);
+    chai.expect(text.length).below(MAX_BYTES);
     chai.expect(lines.at(-1)?.['message']).equal('log_lines_dropped');
-    chai.expect(counted).equal(2 * FLOOD);
+    chai.expect(counted).equal(2 * FLOOD_REQUESTS);
     const placed = lines.filter(line => line['message'] === 'request_placed');
     const refused = new Set(
       lines
--- a/packages/telemetry/tests/explain-request.test.ts
+++ b/packages/telemetry/tests/explain-request.test.ts
@@ -18,7 +18,7 @@
 const explain = (
   lines: readonly string[],
   id: string,
-): telemetry.RequestStory | undefined =>
+): telemetry.RequestExplanation | undefined =>
   telemetry.explainRequest(
     lines.flatMap(line => telemetry.parseLogLine(line) ?? []),
     id,
@@ -26,7 +26,7 @@
 
 describe('the story of a request', () => {
   it('is in order of time over instances, with what they believed', () => {
-    const story = explain(
+    const explanation = explain(
       [
         lineOf(900, 'b', 'request_refused', {request: 'r', reason: 'stopping'}),
         lineOf(1_000, 'a', 'request_placed', {request: 'r', upstream: 'u'}),
@@ -43,15 +43,18 @@
       'r',
     );
     chai
-      .expect(story?.lines.map(({event}) => event))
+      .expect(explanation?.lines.map(({event}) => event))
       .eql(['request_refused', 'request_placed', 'request_answered']);
-    const beliefs = story?.beliefs.map(({line, ageMs}) => [line.event, ageMs]);
+    const beliefs = explanation?.beliefs.map(({line, ageMs}) => [
+      line.event,
+      ageMs,
+    ]);
     chai.expect(beliefs).eql([
       ['zones_out', 700],
       ['upstream_rested', 600],
       ['upstreams_changed', 400],
     ]);
-    const text = story && telemetry.formatStory(story);
+    const text = explanation && telemetry.formatExplanation(explanation);
     chai.expect(text).contain('zones=["z"]').and.contain('leaving=["u"]');
   });
 
--- a/packages/telemetry/tests/gateway-metrics.test.ts
+++ b/packages/telemetry/tests/gateway-metrics.test.ts
@@ -12,11 +12,11 @@
 describe('metrics of a gateway instance', () => {
   it('give counts, latencies and what is read at a collection', async () => {
     const metrics = new telemetry.GatewayMetrics(() => READINGS);
-    metrics.noteEvent('request_refused', 'no_upstream');
-    metrics.noteEvent('store_lost');
-    metrics.noteStoreCall('upstreams', 'unavailable');
-    metrics.noteRequest({kind: 'stream', firstByteMs: 80, tookMs: 900});
-    metrics.noteRequest({kind: 'stream', firstByteMs: undefined, tookMs: 9});
+    metrics.recordEvent('request_refused', 'no_upstream');
+    metrics.recordEvent('store_lost');
+    metrics.recordStoreCall('upstreams', 'unavailable');
+    metrics.recordRequest({kind: 'stream', firstByteMs: 80, tookMs: 900});
+    metrics.recordRequest({kind: 'stream', firstByteMs: undefined, tookMs: 9});
     const text = await metrics.format();
     const expected = [
       'amaranthknot_events_total{event="request_refused",reason="no_upstream"} 1',
