--- a/packages/decisions/src/admission-outcome.ts
+++ b/packages/decisions/src/admission-outcome.ts
@@ -1,7 +1,7 @@
-/** What admission answers. */
+/** Results of admission: admitted, queued, or refused with a reason. */
 import type * as workspaceQueue from './workspace-queue.js';
 
-/** Why a request was not admitted; in each case it has not run. */
+/** Why a request was not admitted. A refused request has not run. */
 export type AdmissionRefusalReason =
   | 'no_capacity'
   | 'queue_full'
@@ -10,18 +10,18 @@
   | 'overloaded'
   | 'wait_expired';
 
-/** What becomes of an offered request. */
+/** Immediate result of offering a request. */
 export type AdmissionOutcome =
   | {readonly kind: 'admitted'}
   | {readonly kind: 'queued'; readonly estimatedWaitMs: number}
   | {
       readonly kind: 'refused';
       readonly reason: AdmissionRefusalReason;
-      /** When to come back, with jitter, in milliseconds. */
+      /** Delay before a retry, in milliseconds, jitter included. */
       readonly retryAfterMs: number;
     };
 
-/** A waiting request that was given up on. */
+/** Refusal of a request that had been waiting. */
 export interface AdmissionRefusal {
   readonly request: workspaceQueue.AdmissionRequest;
   readonly reason: AdmissionRefusalReason;
--- a/packages/decisions/src/admission-queue.ts
+++ b/packages/decisions/src/admission-queue.ts
@@ -1,11 +1,11 @@
 /**
- * Admission at one entry instance: which request runs now, which waits, which
- * is refused. Weighted fair queueing over workspaces in slot time, with
- * bounded borrowing for urgent priorities.
+ * Decides at one entry instance which requests run, wait or are refused, by
+ * weighted fair queueing of slot time over workspaces, with a bounded
+ * advantage for urgent priorities.
  *
- * Made for the lunch-hour burst: several times capacity for minutes, most of
- * it from a few large workspaces. It prevents small workspaces waiting behind
- * large ones, and work that is finished only after its caller has gone.
+ * Load: bursts of several times the capacity that last for minutes, most of it
+ * from a few large workspaces. Harm prevented: small workspaces wait behind
+ * large ones, and slots run work whose caller has already given up.
  */
 import type * as admissionOutcome from './admission-outcome.js';
 import * as expiryQueue from './expiry-queue.js';
@@ -17,9 +17,9 @@
 
 /** Settings of an admission queue. */
 export interface AdmissionOptions {
-  /** Requests that may run at once; changes by `setCapacity`. */
+  /** Initial number of slots: requests that may run at once. */
   readonly capacity: number;
-  /** Requests that may wait, over all workspaces. */
+  /** Requests of all workspaces that may wait. */
   readonly maxQueued?: number;
   /** Uniform random numbers in [0, 1), for jitter. */
   readonly random: () => number;
@@ -29,17 +29,20 @@
 type Entry = workspaceQueue.QueuedRequest;
 type Workspace = workspaceQueue.WorkspaceQueue;
 
-/** Waiting requests by default: some 10 MB of requests of 10 kB. */
+/** Default limit on waiting requests: about 10 MB at 10 kB a request. */
 export const DEFAULT_MAX_QUEUED = 1000;
 
-/** Deviations kept free after the mean service time, as in TCP's timeout. */
+/**
+ * Deviations of the service time added to its mean to get the time reserved
+ * before a deadline, as in TCP's retransmission timeout.
+ */
 const SERVICE_DEVIATIONS = 4;
 
-/** Shortest and longest time a refused caller is told to stay away. */
+/** Bounds on the retry delay given with a refusal. */
 const MIN_RETRY_AFTER_MS = 250;
 const MAX_RETRY_AFTER_MS = 30_000;
 
-/** Admission of one entry instance. Holds state; time is an argument. */
+/** Admission state of one entry instance. Time is an argument. */
 export class AdmissionQueue {
   private readonly slots: slotPool.SlotPool;
   private readonly maxQueued: number;
@@ -61,12 +64,12 @@
     this.maxQueued = options.maxQueued ?? DEFAULT_MAX_QUEUED;
   }
 
-  /** Requests that run. */
+  /** Number of running requests. */
   get inFlight(): number {
     return this.slots.inFlight;
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get queued(): number {
     return this.standing.count;
   }
@@ -78,13 +81,15 @@
   }
 
   /**
-   * Admits a request, lets it wait, or refuses it at once.
+   * Admits, queues or refuses a request.
    *
-   * @throws Error when a request of this identity waits or runs already.
+   * @throws Error when a request with this id is already waiting or running.
    */
   offer(request: Request, nowMs: number): admissionOutcome.AdmissionOutcome {
     if (this.waiting.has(request.id) || this.slots.has(request.id)) {
-      throw new Error(`request ${request.id} was offered twice`);
+      throw new Error(
+        `request ${request.id} is already waiting or running; offer each id once`,
+      );
     }
     const workspace = this.fairQueue.findWorkspace(request.workspace);
     const entry = this.createEntry(request, workspace, nowMs);
@@ -114,8 +119,8 @@
   }
 
   /**
-   * Gives up on waiting requests whose last moment has passed. Call it at
-   * `nextExpiryMs`, so that the caller gets its answer at once.
+   * Removes and returns the waiting requests that were not admitted in time.
+   * Call it at `nextExpiryMs`, so that callers get their answers without delay.
    */
   expire(nowMs: number): readonly admissionOutcome.AdmissionRefusal[] {
     const refusals: admissionOutcome.AdmissionRefusal[] = [];
@@ -134,14 +139,14 @@
     }
   }
 
-  /** First moment at which `expire` has work, or undefined. */
+  /** Earliest time at which `expire` will return a request, if any waits. */
   nextExpiryMs(): number | undefined {
     const entry = this.expiries.peek();
-    // `expire` gives up strictly after the last moment.
+    // A request may still be admitted at `admitByMs` itself.
     return entry === undefined ? undefined : entry.admitByMs + 1;
   }
 
-  /** Forgets a request whose caller left; returns the ones now admitted. */
+  /** Removes a request whose caller left; returns the requests now admitted. */
   cancel(id: string, nowMs: number): readonly Request[] {
     const entry = this.waiting.get(id);
     if (!entry) {
@@ -151,7 +156,7 @@
     return [];
   }
 
-  /** Wait that a request offered now would have, in milliseconds. */
+  /** Estimated wait of a request if it were offered now, in milliseconds. */
   estimateWaitMs(request: Request, nowMs: number): number {
     const workspace = this.fairQueue.findWorkspace(request.workspace);
     const entry = this.createEntry(request, workspace, nowMs);
@@ -174,7 +179,8 @@
     const serviceMs = request.expectedServiceMs ?? measured;
     const slackMs = request.deadlineMs - nowMs;
     const fullMargin = serviceMs + SERVICE_DEVIATIONS * estimate.deviation;
-    // Where deadlines are tight, half of the time is left for waiting.
+    // With a tight deadline, half of the remaining time is left for waiting,
+    // but never less than the service time is reserved.
     const marginMs = Math.min(fullMargin, Math.max(serviceMs, slackMs / 2));
     const admitByMs = Math.min(
       request.deadlineMs - marginMs,
@@ -202,9 +208,13 @@
     }
     const neededMs = waitMs * workspace.waitMargin;
     const allowedMs = entry.admitByMs - nowMs;
-    const share = this.waitPolicy.waitShare(entry.request, workspace, nowMs);
-    // Work that would end after its deadline takes a slot and helps no one.
-    if (neededMs > share * allowedMs) {
+    const fraction = this.waitPolicy.waitFraction(
+      entry.request,
+      workspace,
+      nowMs,
+    );
+    // Work that ends after its deadline uses a slot for nothing.
+    if (neededMs > fraction * allowedMs) {
       return this.waitPolicy.isOverloaded(entry.request, nowMs)
         ? 'overloaded'
         : 'deadline_unreachable';
@@ -215,8 +225,8 @@
     if (this.standing.count >= this.maxQueued) {
       return 'queue_full';
     }
-    // Dynamic threshold: no workspace queues more than what is still free, so
-    // that large ones leave room for those that come after them.
+    // Dynamic threshold: a workspace may queue at most as many requests as
+    // there are free places, so that large ones leave room for others.
     const free = this.maxQueued - this.standing.count;
     const bound = Math.min(entry.request.maxQueued, free);
     return workspace.queued >= bound ? 'workspace_queue_full' : undefined;
@@ -236,7 +246,7 @@
     this.expiries.sweep(this.standing.count);
   }
 
-  /** Admits waiting requests, the workspace furthest behind first. */
+  /** Admits waiting requests while slots are free, in fair order. */
   private dispatch(nowMs: number): readonly Request[] {
     const admitted: Request[] = [];
     while (
@@ -261,7 +271,7 @@
     this.slots.acquire(request, serviceMs, nowMs);
   }
 
-  /** Time until all that waits now has been admitted. */
+  /** Estimated time until all requests waiting now have been admitted. */
   private estimateDrainMs(nowMs: number): number {
     const work = this.standing.count * this.slots.meanServiceMs;
     return (
@@ -269,7 +279,10 @@
     );
   }
 
-  /** Jitter over the whole span keeps refused callers from returning as one. */
+  /**
+   * Jitter of up to the delay itself keeps refused callers from retrying all
+   * at the same time.
+   */
   private drawRetryAfterMs(waitMs: number): number {
     const base = Math.max(MIN_RETRY_AFTER_MS, waitMs);
     const bounded = Math.min(base, MAX_RETRY_AFTER_MS / 2);
--- a/packages/decisions/src/cascade-plan.ts
+++ b/packages/decisions/src/cascade-plan.ts
@@ -1,63 +1,64 @@
-/** Plans of cascades: where to start, what to accept, what came of it. */
+/** Types of cascade plans, answers and ratings, and how a plan is followed. */
 
 /** One model of a cascade. */
 export interface CascadeStage {
-  /** Model, with its version where versions are to be told apart. */
+  /** Model name, with its version where versions are distinguished. */
   readonly model: string;
-  /** Expected cost of one answer, above 0, in any one unit. */
+  /** Expected cost of one answer, above 0, in the same unit for all stages. */
   readonly cost: number;
 }
 
-/** What a plan is chosen for. */
+/** Request for which a plan is chosen. */
 export interface CascadeRequest {
   readonly workspace: string;
-  /** Kind of task; answers of one kind are taken to be alike. */
+  /** Kind of task; answers to one kind are assumed to be similar. */
   readonly task: string;
-  /** From cheap to capable, at least one. */
+  /** From the cheapest to the most capable, at least one. */
   readonly stages: readonly CascadeStage[];
   /**
-   * Share of answers, 0 to 1, that the workspace wants rated good. Without
-   * one, the latest that a request or rating of the workspace named holds.
+   * Fraction of answers, 0 to 1, that the workspace wants rated good. Without
+   * it, the latest target of a request or rating of the workspace applies.
    */
   readonly target?: number;
 }
 
-/** Where to start and what to accept. Plain JSON. */
+/** Starting stage and acceptance rules. Plain JSON. */
 export interface CascadePlan {
   readonly startStage: number;
-  /** Lowest score accepted, by stage; above 1 accepts none. */
+  /** Lowest accepted score by stage; a value above 1 accepts none. */
   readonly acceptThresholds: readonly number[];
   /** Whether an answer without a score is accepted, by stage. */
   readonly acceptUnscored: readonly boolean[];
 }
 
-/** What to do with one stage's answer. */
+/** What to do with the answer of a stage. */
 export type CascadeStep =
   | {readonly kind: 'accept'}
   | {readonly kind: 'escalate'; readonly stage: number};
 
-/** An answer of one stage. Plain JSON, so that any instance may report it. */
+/** An answer of a stage. Plain JSON, so that any instance may report it. */
 export interface CascadeAnswer {
   readonly workspace: string;
   readonly task: string;
   readonly model: string;
-  /** Whether an earlier stage's answer to this request was rejected. */
+  /** Whether the answer of an earlier stage to this request was rejected. */
   readonly escalated: boolean;
   /** The engine's own confidence, 0 to 1. */
   readonly score?: number;
 }
 
-/** Rating of an answer that reached the caller. Plain JSON. */
+/** Rating of an answer that was sent to the caller. Plain JSON. */
 export interface CascadeRating extends CascadeAnswer {
   /** 0 (bad) to 1 (good). */
   readonly rating: number;
-  /** As in the request. */
+  /** As in `CascadeRequest`. */
   readonly target?: number;
 }
 
 /**
- * What to do with the answer of `stage`. Says `escalate` also when the next
- * stage is full: the caller then queues or refuses.
+ * Decides what to do with the answer of `stage`. The load of the next stage is
+ * not considered: when it is full, the caller of this function queues or
+ * refuses the request.
  */
 export const nextStep = (
   plan: CascadePlan,
--- a/packages/decisions/src/cascade-policy.ts
+++ b/packages/decisions/src/cascade-policy.ts
@@ -1,26 +1,26 @@
 /**
- * Chooses where a request enters a cascade of models and which answers to
- * accept, for the least expected cost at the workspace's quality.
+ * Chooses at which model of a cascade a request starts and which answers are
+ * accepted, for the lowest expected cost at the workspace's target quality.
  *
- * Load: every request that names a cascade, at thousands a second; ratings
- * come for a tenth of the answers, late or never, and models drift. Harm
- * prevented: paying for the capable model where a cheap one passes, and
- * passing on cheap answers that are not good enough. Load never enters the
- * decision: when the chosen model is full the caller queues or refuses, so
- * that quality never gives way quietly.
+ * Load: every request that names a cascade, thousands a second. A tenth of the
+ * answers are rated, some of them late, and models drift. Harm prevented:
+ * paying for the capable model where a cheap one is good enough, and returning
+ * cheap answers that are not. The load of the models is not an input: when the
+ * chosen model is full, the caller queues or refuses, so that quality is never
+ * lowered silently.
  */
 import type * as cascadePlan from './cascade-plan.js';
 import * as logisticRegression from './logistic-regression.js';
 import * as qualityPrice from './quality-price.js';
 import * as stageBelief from './stage-belief.js';
 
-/** Everything learned so far. Plain JSON. */
+/** Learned state of a policy. Plain JSON. */
 export interface CascadeSnapshot {
   readonly stages: readonly StageEntry[];
   readonly prices: readonly PriceEntry[];
 }
 
-/** What is known of one model on one kind of task. */
+/** Belief about one model on one kind of task. */
 export interface StageEntry {
   readonly workspace: string;
   readonly task: string;
@@ -36,30 +36,35 @@
 
 /** Tuning of the policy. */
 export interface CascadeOptions {
-  /** Share of requests, 0 to 1, that explore. */
+  /** Fraction of plans, 0 to 1, that explore. */
   readonly explorationShare?: number;
-  /** Growth of variance for each rating of the task. */
+  /**
+   * Growth of the variances for each rating of the task, relative to the prior.
+   */
   readonly aging?: number;
-  /** Share of answers aimed for above the target. */
+  /** Fraction of good answers aimed for above the target. */
   readonly margin?: number;
 }
 
-/** Enough tries to notice drift for the better, few enough to cost little. */
+/** Enough exploration to notice that a model improved, at little cost. */
 const EXPLORATION_SHARE = 0.35;
-/** Old ratings fade over about a thousand of the task's, so drift shows. */
+/** Old ratings lose weight over about 1,000 newer ones, so that drift shows. */
 const AGING = 1e-6;
-/** Requests alike that share a plan, so that a decision stays cheap. */
+/** Consecutive similar requests that share a plan, to keep decisions cheap. */
 const REQUESTS_PER_PLAN = 8;
-/** Covers the sampling error of some thousand ratings. */
+/** Covers the sampling error of a few thousand ratings. */
 const MARGIN = 0.005;
-/** Callers name tasks: more kinds than this in a workspace share one entry. */
+/**
+ * Kinds of tasks tracked for each workspace. Callers name them, so further
+ * kinds share one entry to bound memory.
+ */
 const MAX_TASKS = 64;
 const OTHER_TASKS = '';
 
 /** Beliefs of one kind of task by model. */
 type BeliefsByModel = Map<string, stageBelief.StageBelief>;
 
-/** A plan in use for the next requests alike. */
+/** A plan that the next similar requests reuse. */
 interface ActivePlan {
   readonly plan: cascadePlan.CascadePlan;
   readonly request: cascadePlan.CascadeRequest;
@@ -77,15 +82,15 @@
   target: number | undefined;
 }
 
-/** A stage with the coefficients drawn for one request. */
+/** A stage with the coefficients drawn for one plan. */
 interface DrawnStage {
   readonly costs: stageBelief.AnswerCosts;
   readonly coefficients: readonly number[];
-  /** What to expect of starting here. */
+  /** Expected outcome of starting at this stage. */
   readonly direct: stageBelief.ExpectedOutcome;
 }
 
-/** Learns the cascades of all workspaces; one per process. */
+/** Learns the cascades of all workspaces. One object per process. */
 export class CascadePolicy {
   private readonly workspaces = new Map<string, WorkspaceState>();
   private readonly explorationShare: number;
@@ -99,9 +104,9 @@
   }
 
   /**
-   * Chooses the starting stage and what each stage accepts. A share of the
-   * requests explores: its coefficients are drawn from the beliefs, so that
-   * stages are tried as often as they may be better than they seem.
+   * Chooses the starting stage and what each stage accepts. A fraction of the
+   * plans explores by Thompson sampling: coefficients are drawn from the
+   * beliefs, so that a stage is tried as often as it may be the better one.
    */
   choose(
     request: cascadePlan.CascadeRequest,
@@ -152,7 +157,7 @@
     };
   }
 
-  /** Takes in an answer as it comes, whether or not a rating follows. */
+  /** Records the score of an answer, whether or not a rating follows. */
   observeAnswer(answer: cascadePlan.CascadeAnswer): void {
     const {models} = this.findTask(answer.workspace, answer.task);
     const belief = findBelief(models, answer.model);
@@ -162,7 +167,7 @@
     );
   }
 
-  /** Takes in a rating, however late. */
+  /** Records a rating, however late it arrives. */
   observeRating(rating: cascadePlan.CascadeRating): void {
     const {escalated, score} = rating;
     const {models} = this.findTask(rating.workspace, rating.task);
@@ -181,7 +186,7 @@
     state.price = qualityPrice.adjustForRating(state.price, shortfall);
   }
 
-  /** Everything learned, to hand to other instances. */
+  /** Returns the learned state, to pass it to other instances. */
   snapshot(): CascadeSnapshot {
     const stages: StageEntry[] = [];
     const prices: PriceEntry[] = [];
@@ -196,7 +201,7 @@
     return {stages, prices};
   }
 
-  /** Replaces everything learned. */
+  /** Replaces the learned state. */
   restore(snapshot: CascadeSnapshot): void {
     this.workspaces.clear();
     for (const {workspace, price} of snapshot.prices) {
@@ -207,14 +212,19 @@
     }
   }
 
-  /** From the last stage back: each is judged by what follows it. */
+  /**
+   * Works from the last stage back, as the expected outcome of a stage depends
+   * on that of the next one.
+   */
   private drawStages(
     request: cascadePlan.CascadeRequest,
     draw: (() => number) | undefined,
   ): readonly DrawnStage[] {
     const capable = request.stages.at(-1);
     if (!capable) {
-      throw new Error('a cascade has at least one stage');
+      throw new Error(
+        `cascade of task ${request.task} has no stages; expected at least one`,
+      );
     }
     const {price} = this.findWorkspace(request.workspace);
     const badAnswerCost = Math.exp(price.log) * capable.cost;
--- a/packages/decisions/src/configuration-freshness.ts
+++ b/packages/decisions/src/configuration-freshness.ts
@@ -1,49 +1,52 @@
 /**
- * How long an instance may serve on a configuration that nobody confirms.
+ * Decides whether an instance may start new work on a configuration that the
+ * platform has not confirmed recently.
  *
- * Load: an instance cut off from the platform, from its peers, or both, and a
- * platform that is down for everyone. Harm prevented: an isolated instance
- * sends new work to a zone, version or upstream that was taken out meanwhile;
- * or all instances stop because the platform is down, though then nothing can
- * have been taken out.
+ * Load: an instance that is cut off from the platform, from its peers or from
+ * both, and a platform outage that affects all instances. Harm prevented: an
+ * isolated instance sends new work to a zone, version or upstream that has
+ * since been withdrawn; or all instances stop during an outage of the platform,
+ * although nothing can be withdrawn then.
  */
 
-/** What an instance knows of its own connections. */
+/** Contacts of an instance with the platform and its peers. */
 export interface ConfirmationView {
   /**
-   * Time since the platform last confirmed the generation in force, to this
-   * instance or, passed on with its age, to a peer, in milliseconds.
+   * Time since the platform last confirmed the active generation, to this
+   * instance or to a peer that forwarded it with its age, in milliseconds.
    */
   readonly confirmedAgoMs: number;
+  /** Number of peers heard from within the bound. */
+  readonly peersHeard: number;
   /**
-   * Peers heard from within the bound, and peers of the platform's last list
-   * (not of those heard from, or a lone instance would be a majority).
+   * Number of peers in the last list of the platform. Peers heard from would
+   * not do: a lone instance would then be a majority.
    */
-  readonly peersHeard: number;
   readonly peersKnown: number;
-  /** Time since a peer was last heard from whose generation was the same. */
+  /** Time since contact with a peer of the same generation, in milliseconds. */
   readonly agreedAgoMs: number;
 }
 
 /**
- * - `confirmed`: the configuration is known to be in force.
- * - `platform_out`: nobody reaches the platform, but most peers are there and
- *   agree; nothing can have changed, so serving goes on.
- * - `isolated`: a change may have been missed; no new work.
+ * - `confirmed`: the configuration is known to be active.
+ * - `platform_out`: no instance reaches the platform, but most peers are
+ *   connected and have the same generation. Nothing can have changed, so
+ *   serving continues.
+ * - `isolated`: a change may have been missed, so no new work may start.
  */
 export type Freshness = 'confirmed' | 'platform_out' | 'isolated';
 
 /**
- * Longest time without confirmation, in milliseconds. A zone taken out gets
- * no new work after 3 s, on an isolated instance too: a second is left for
- * the change to reach those that are connected.
+ * Maximum time without confirmation, in milliseconds. A withdrawn zone must
+ * get no new work after 3 s, also from an isolated instance; one second is
+ * left for the change to reach connected instances.
  */
 export const CONFIRMATION_BOUND_MS = 2_000;
 
 /**
- * Judges whether to go on serving. A minority that has lost the platform
- * can't tell an outage from its own isolation and stops; a majority goes on.
- * Left open: a platform that only a minority still reaches.
+ * Classifies the state of the configuration. A minority that has lost the
+ * platform can't distinguish an outage from its own isolation and stops; a
+ * majority continues. Not covered: a platform that only a minority reaches.
  */
 export const judgeFreshness = (
   view: ConfirmationView,
@@ -58,6 +61,6 @@
   return isMajority && agrees ? 'platform_out' : 'isolated';
 };
 
-/** Whether new work may start. */
+/** Whether new work may start in this state. */
 export const mayStartWork = (freshness: Freshness): boolean =>
   freshness !== 'isolated';
--- a/packages/decisions/src/fair-queue.ts
+++ b/packages/decisions/src/fair-queue.ts
@@ -1,6 +1,6 @@
 /**
- * Order of service over workspaces: start-time fair queueing in slot time,
- * with a bounded lead for urgent priorities, and the wait that follows from it.
+ * Start-time fair queueing of slot time over workspaces, with a bounded lead
+ * for urgent priorities, and estimates of the resulting waits.
  */
 import * as demandMeter from './demand-meter.js';
 import type * as slotPool from './slot-pool.js';
@@ -11,10 +11,10 @@
 type Workspace = workspaceQueue.WorkspaceQueue;
 
 /**
- * Lead in virtual time by priority, in mean services of the longest kind of
- * work, as that is what has to be overtaken. An urgent request goes ahead of
- * others by this much and no more, so that a workspace which calls everything
- * urgent cannot starve the rest.
+ * Lead in virtual time by priority, as a multiple of the mean service time of
+ * the longest kind of work, which an urgent request has to overtake. The lead
+ * is bounded, so that a workspace that marks everything as urgent cannot
+ * starve the others.
  */
 const PRIORITY_LEAD: Readonly<Record<Priority, number>> = {
   door_check: 20,
@@ -31,42 +31,43 @@
   tag < bestTag ||
   (tag === bestTag && best !== undefined && entry.order < best.order);
 
-/** Most credit for time without demand, in mean service times. */
+/** Maximum credit for time without demand, in mean service times. */
 const MAX_IDLE_CREDIT = 2;
 
-/** Where a request would stand in the order of service. */
+/** Position of a request in the order of service. */
 interface Position {
   readonly workspace: Workspace;
+  /** Virtual start time, less the lead of its priority. */
   readonly tag: number;
-  /** Slot time of its own workspace that goes before it. */
+  /** Slot time of its own workspace's requests that run before it. */
   readonly ownMs: number;
-  /** Mean service of the longest kind of work. */
+  /** Mean service time of the longest kind of work. */
   readonly longestServiceMs: number;
   readonly nowMs: number;
 }
 
-/** What may go before a position. */
+/** Work of other workspaces that may run before a position. */
 interface CompetingLoad {
-  /** Slot time that waits already. */
+  /** Slot time of requests that already wait. */
   readonly queuedMs: number;
-  /** Slots that requests to come keep busy. */
+  /** Average number of slots that future requests will occupy. */
   readonly demand: number;
-  /** Slot time it gets at most before the position's turn. */
+  /** Maximum slot time that can be served before the position. */
   readonly shareMs: number;
 }
 
-/** Shares the slots of a pool between workspaces. */
+/** Divides the slots of a pool among workspaces by weight. */
 export class FairQueue {
   private virtualTime = 0;
   private readonly workspaces = new Map<string, Workspace>();
-  /** Workspaces with waiting requests; decisions look at no others. */
+  /** Workspaces with waiting requests; only these are scanned to dispatch. */
   private readonly backlogged = new Set<Workspace>();
-  /** Slots that requests of all workspaces lately keep busy. */
+  /** Recent demand of all workspaces, in slots. */
   private readonly demand = new demandMeter.DemandMeter();
 
   constructor(private readonly slots: slotPool.SlotPool) {}
 
-  /** State of a workspace, created at its first request. */
+  /** Returns the state of a workspace, creating it at its first request. */
   findWorkspace(name: string): Workspace {
     const found = this.workspaces.get(name);
     if (found) {
@@ -77,7 +78,10 @@
     return created;
   }
 
-  /** Drops a workspace that owes nothing, so that state stays bounded. */
+  /**
+   * Drops an idle workspace that is not ahead in virtual time and has no
+   * measured service times, so that state stays bounded.
+   */
   removeIfIdle(name: string, workspace: Workspace): void {
     const isSettled = workspace.virtualTime <= this.virtualTime;
     if (workspace.isIdle && isSettled && !workspace.serviceTime.hasSamples) {
@@ -85,13 +89,13 @@
     }
   }
 
-  /** Puts a request into its workspace's queue. */
+  /** Adds a request to its workspace's queue. */
   push(entry: Entry, nowMs: number): void {
     const workspace = this.findWorkspace(entry.request.workspace);
     if (workspace.queued === 0) {
-      // Time spent without demand earns a little credit, which evens out a
-      // small workspace's uneven demand; more of it would let a burst after
-      // each pause hold up everyone else.
+      // Time without demand earns a little credit, which compensates for the
+      // uneven demand of a small workspace. With more credit, a burst after
+      // each pause would delay all others.
       workspace.virtualTime = this.startOf(workspace);
     }
     workspace.push(entry, nowMs);
@@ -99,7 +103,7 @@
     this.demand.add(entry.serviceMs, nowMs);
   }
 
-  /** Takes a waiting request out of its workspace's queue. */
+  /** Removes a waiting request from its workspace's queue. */
   remove(entry: Entry): void {
     const workspace = this.findWorkspace(entry.request.workspace);
     workspace.remove(entry);
@@ -108,19 +112,19 @@
     }
   }
 
-  /** Notes how long a request waited, to judge later expectations. */
+  /** Records how long a request waited, to correct later estimates. */
   recordWait(entry: Entry, nowMs: number): void {
     this.findWorkspace(entry.request.workspace).recordWait(entry, nowMs);
   }
 
-  /** Charges the workspace of an admitted request for its expected time. */
+  /** Charges the workspace of an admitted request its expected slot time. */
   charge(entry: Entry): void {
     const workspace = this.findWorkspace(entry.request.workspace);
     workspace.inFlight++;
     workspace.virtualTime += entry.serviceMs / entry.request.weight;
   }
 
-  /** Charges a workspace for the slot time that a request really took. */
+  /** Corrects the charge of a finished request to the slot time it held. */
   settle(running: slotPool.RunningRequest, heldMs: number): void {
     const {request} = running;
     const workspace = this.findWorkspace(request.workspace);
@@ -129,7 +133,7 @@
     workspace.serviceTime.add(heldMs);
   }
 
-  /** The request to run next: that of the workspace furthest behind. */
+  /** Returns the next request to run: the one with the lowest tag. */
   chooseNext(nowMs: number): Entry | undefined {
     const open = workspaceQueue.ADMISSION_PRIORITIES.filter(priority =>
       this.slots.hasFreeSlot(priority, nowMs),
@@ -156,14 +160,14 @@
     return best;
   }
 
-  /** Whether a workspace asks for no more than its share of late. */
+  /** Whether the recent demand of a workspace is within its fair share. */
   isWithinShare(workspace: Workspace): boolean {
     const asked = workspace.queuedServiceMs / workspace.weight;
     const limit = this.virtualTime + this.slots.meanServiceMs;
     return workspace.virtualTime + asked <= limit;
   }
 
-  /** Virtual time at which a workspace without waiting requests starts. */
+  /** Virtual time at which the next request of a workspace would start. */
   private startOf(workspace: Workspace): number {
     const credit = MAX_IDLE_CREDIT * this.slots.meanServiceMs;
     return Math.max(workspace.virtualTime, this.virtualTime - credit);
@@ -181,8 +185,8 @@
   }
 
   /**
-   * Slot time that runs before `entry`, over the rate of service: the wait
-   * under fair queueing, not under first come, first served.
+   * Estimates the wait of `entry` under fair queueing: the slot time that runs
+   * before it, divided by the number of slots.
    */
   estimateWaitMs(entry: Entry, workspace: Workspace, nowMs: number): number {
     const {request} = entry;
@@ -205,15 +209,15 @@
     };
     const competing = this.listCompetingLoads(position);
     const queuedMs = this.estimateWaitBehindMs(competing, position.ownMs, 0);
-    // Requests that come during the wait go ahead too, where their workspace
-    // is behind in virtual time; without them the wait is guessed too short
-    // for large workspaces, and their requests wait only to be given up on.
+    // Requests that arrive during the wait may run first too, when their
+    // workspace is behind in virtual time. Without them the estimate is too
+    // short for large workspaces, and their requests wait until they expire.
     const sharedMs = this.estimateWaitBehindMs(
       competing,
       position.ownMs,
       queuedMs,
     );
-    // A workspace at its own bound waits for its own work to end.
+    // A workspace at its concurrency limit waits for its own work to end.
     const ownMs = isBelowLimit
       ? 0
       : (ownAhead + this.slots.meanServiceMs) / request.maxConcurrent;
@@ -232,7 +236,9 @@
     return ahead / Math.max(1, this.slots.capacity);
   }
 
-  /** All that may go before a position: waiting workspaces, and the rest. */
+  /**
+   * Loads that may run before a position: each waiting workspace, and the rest.
+   */
   private listCompetingLoads(position: Position): readonly CompetingLoad[] {
     const {workspace, tag, nowMs, longestServiceMs} = position;
     const competing: CompetingLoad[] = [];
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,7 @@
-/** Pure decisions under load: time and random numbers are arguments. */
+/**
+ * Decision modules for behaviour under load. They do no I/O; time and random
+ * numbers are passed in.
+ */
 export * from './admission-queue.js';
 export * from './admission-outcome.js';
 export * from './cascade-policy.js';
--- a/packages/decisions/src/logistic-regression.ts
+++ b/packages/decisions/src/logistic-regression.ts
@@ -1,12 +1,12 @@
 /**
  * Bayesian logistic regression, updated one outcome at a time. It estimates a
- * probability from a few features and says how sure it is, in constant memory.
+ * probability from a few features, with its uncertainty, in constant memory.
  */
 
 /** Belief about the coefficients: a normal distribution. Plain JSON. */
 export interface LogisticBelief {
   readonly mean: readonly number[];
-  /** Covariance matrix by rows. */
+  /** Covariance matrix, row by row. */
   readonly covariance: readonly (readonly number[])[];
 }
 
@@ -24,7 +24,7 @@
   return Math.max(-limit, Math.min(limit, Math.log(p / (1 - p))));
 };
 
-/** A belief with independent coefficients. */
+/** Creates a belief with independent coefficients. */
 export const createBelief = (
   mean: readonly number[],
   variance: readonly number[],
@@ -41,7 +41,7 @@
   return sum;
 };
 
-/** Takes in one outcome, 0 to 1, seen at the given features. */
+/** Updates the belief by one outcome, 0 to 1, at the given features. */
 export const updateBelief = (
   belief: LogisticBelief,
   features: readonly number[],
@@ -64,8 +64,8 @@
 };
 
 /**
- * Lets a belief age: each variance grows by `growth` times its first value
- * and not beyond it, so that old outcomes lose weight against new ones.
+ * Ages a belief, so that old outcomes lose weight against new ones: each
+ * variance grows by `growth` times its prior value, up to that value.
  */
 export const ageBelief = (
   belief: LogisticBelief,
@@ -81,7 +81,7 @@
   ),
 });
 
-/** Lower triangular factor of a positive semidefinite matrix. */
+/** Lower triangular Cholesky factor of a positive semidefinite matrix. */
 const choleskyFactor = (matrix: readonly (readonly number[])[]): number[][] => {
   const rows: number[][] = [];
   for (let i = 0; i < matrix.length; i++) {
@@ -96,7 +96,7 @@
   return rows;
 };
 
-/** Draws coefficients from the belief. */
+/** Draws coefficients from the belief, given a standard normal generator. */
 export const drawCoefficients = (
   belief: LogisticBelief,
   drawNormal: () => number,
--- a/packages/decisions/src/quality-price.ts
+++ b/packages/decisions/src/quality-price.ts
@@ -1,34 +1,38 @@
 /**
- * Price of a bad answer in one workspace, moved until the answers just meet
- * the target.
+ * Adjusts the price of a bad answer in one workspace until its answers just
+ * meet the target quality.
  *
- * Plans move it by what they expect to miss, without waiting for ratings;
- * ratings move it by what the expectation missed, each for all the answers
- * it stands for. The steps add up to the shortfall so far, hence the mean
- * rating settles at the target whatever the beliefs get wrong.
+ * Plans change the price by their expected shortfall, without waiting for
+ * ratings. Ratings change it by the error of that expectation, each weighted
+ * by the number of answers that it represents. The changes add up to the total
+ * shortfall, so the mean rating converges to the target even where the beliefs
+ * are wrong.
  */
 
-/** A price and what it was moved by so far. Plain JSON. */
+/** A price and the counts that it is based on. Plain JSON. */
 export interface QualityPrice {
-  /** Log of the price, in costs of the capable stage. */
+  /** Log of the price, relative to the cost of the capable stage. */
   readonly log: number;
-  /** Requests planned and ratings that came. */
+  /** Number of requests planned. */
   readonly requests: number;
+  /** Number of ratings received. */
   readonly ratings: number;
 }
 
 /**
- * Step of the log price for a whole answer missing: the price moves within
- * some thousand requests, slower than ratings are late.
+ * Change of the log price for a shortfall of one whole answer. The price
+ * adapts over a few thousand requests, longer than ratings are delayed.
  */
 const LEARNING_RATE = 0.004;
-/** Answers that one rating stands for, at most: ratings may stop coming. */
+/** Maximum answers that one rating represents, as ratings may stop coming. */
 const MAX_ANSWERS_PER_RATING = 50;
-/** Bounds, so that a long run of bad or good luck is soon undone. */
+/**
+ * Bounds from which the price recovers quickly after a run of chance results.
+ */
 const MIN_LOG_PRICE = Math.log(0.02);
 const MAX_LOG_PRICE = Math.log(500);
 
-/** High, so that a new workspace starts with capable models. */
+/** Initial price: high, so that a new workspace starts with capable models. */
 export const INITIAL_PRICE: QualityPrice = {
   log: Math.log(5),
   requests: 0,
@@ -40,7 +44,7 @@
   return {...price, log: Math.min(MAX_LOG_PRICE, floor)};
 };
 
-/** Counts requests planned alike, each expected to miss a share of the goal. */
+/** Adjusts for `requests` with one plan, each with an expected shortfall. */
 export const adjustForPlans = (
   price: QualityPrice,
   requests: number,
@@ -50,7 +54,7 @@
   return adjustPrice(counted, requests * shortfall);
 };
 
-/** Counts a rating that fell short of what was expected of its answer. */
+/** Adjusts for a rating that fell short of its expected value. */
 export const adjustForRating = (
   price: QualityPrice,
   shortfall: number,
--- a/packages/decisions/src/rate-limits.ts
+++ b/packages/decisions/src/rate-limits.ts
@@ -1,95 +1,101 @@
 /**
- * Keeps the sum of all instances' requests to an upstream within the rate that
- * it names.
+ * Keeps the total rate of requests from all instances to an upstream within
+ * the limit that the upstream announces.
  *
- * Load: an upstream in need that still answers, among others that take more.
- * Harm prevented: each instance knows little of what the others send, keeps
- * the rate by itself, and together they send as many times the rate as there
- * are instances. Shares need no message; what was named last goes from
- * instance to instance with its age, so that those keep it that the upstream
- * has not told, and all know when it is lifted. Pure: time is an argument.
+ * Load: an overloaded upstream that still answers, next to others with spare
+ * capacity. Harm prevented: each instance keeps the limit by itself, and
+ * together they send as many times the limit as there are instances. Instances
+ * compute their shares without messages. They forward the latest limit with
+ * its age, so that those that the upstream did not answer keep it too, and all
+ * learn when it is lifted. Pure: the clock is an option.
  */
 import * as instanceShare from './instance-share.js';
 import * as slidingCount from './sliding-count.js';
 
-/** Settings of the limits. */
+/** Options of `RateLimits`. */
 export interface RateLimitsOptions {
   readonly now: () => number;
-  /** Name of this instance. */
+  /** Id of this instance. */
   readonly self: string;
-  /** Names of all instances that live, this one included. */
+  /** Ids of all live instances, this one included. */
   readonly findInstances: () => readonly string[];
-  /** Called when an upstream names a limit, another one, or none any more. */
+  /** Called when a limit is set, changes significantly, or is lifted. */
   readonly onChange: (id: string, perSecond: number | undefined) => void;
 }
 
-/** What an instance tells others of an upstream's limit. */
+/** Limit of an upstream as instances report it to each other. */
 export interface ReportedLimit {
   readonly id: string;
-  /** Requests a second; absent where it is lifted. */
+  /** Requests a second; absent when the limit is lifted. */
   readonly perSecond?: number | undefined;
-  /** Time since the upstream said so, in milliseconds. */
+  /** Time since the upstream announced it, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** What an upstream said last. */
+/** Latest limit that an upstream announced. */
 interface KnownLimit {
-  /** Requests a second; undefined where it is lifted. */
+  /** Requests a second; undefined when the limit is lifted. */
   readonly perSecond: number | undefined;
+  /** Time at which the upstream announced it. */
   readonly atMs: number;
-  /** The limit as it was when it was news last. */
+  /** The limit at its last significant change. */
   readonly announcedPerSecond: number | undefined;
-  /** When it was news here. */
+  /** Time at which this instance learned of that change. */
   readonly announcedAtMs: number;
 }
 
-/** This instance's share of a limit, as worked out last. */
+/** Cached share of a limit for this instance. */
 interface Share {
+  /** Time at which it was computed. */
   readonly atMs: number;
+  /** The limit that it was computed from. */
   readonly perSecond: number;
+  /** Requests that this instance may send in one window. */
   readonly requests: number;
 }
 
-/** Part of a limit by which it changes before that is told as news. */
+/** Relative change of a limit from which it counts as significant. */
 const SIGNIFICANT_CHANGE = 0.25;
 
-/** Time over which the requests to an upstream are counted, in milliseconds. */
+/** Window in which requests to an upstream are counted, in milliseconds. */
 const WINDOW_MS = 4_000;
 
 const MS_PER_S = 1_000;
 
 /**
- * Longest time between two requests to an upstream however low its limit is,
- * in milliseconds: only an answer says that the limit is lifted.
+ * Maximum time between two requests to an upstream, however low its limit is,
+ * in milliseconds: only an answer can say that the limit is lifted.
  */
 const MAX_SEND_INTERVAL_MS = 10_000;
 
-/** Time for which a share is kept, in milliseconds. */
+/** Time for which a share is cached, in milliseconds. */
 const SHARE_CACHE_MS = 1_000;
 
 /**
- * Time for which others are told of a change, in milliseconds: some rounds of
- * messages. Unchanged limits are told again now and then, for instances that
- * were cut off or have just started; all of them in each message would take
- * more than what instances may tell each other.
+ * Time for which a significant change is reported, in milliseconds: a few
+ * rounds of messages. All limits are reported again every `REPEAT_EVERY_MS`,
+ * for `REPEAT_MS`, for instances that were cut off or have just started.
+ * Reporting all of them in each message would exceed the message size allowed
+ * between instances.
  */
 const ANNOUNCE_MS = 3_000;
 const REPEAT_EVERY_MS = 20_000;
 const REPEAT_MS = 1_000;
 
 /**
- * Time after which what an upstream said is forgotten, in milliseconds: as
- * often as it is told again, it was lost on the way.
+ * Age after which a limit expires, in milliseconds. Reports are repeated
+ * several times within it, so for an older limit all later ones were lost.
  */
 const EXPIRY_MS = 60_000;
 
 /**
- * Time by which word from another instance must be newer, in milliseconds: its
- * way here is not part of its age, and word that comes back would look newer.
+ * Time by which a report of another instance must be newer than what is known,
+ * in milliseconds. The age in a report does not include its transmission, so an
+ * own report that comes back would look newer.
  */
 const MIN_NEWER_MS = 100;
 
-/** Limits of all upstreams that named one. */
+/** Limits of all upstreams that announced one. */
 export class RateLimits {
   private readonly knownLimits = new Map<string, KnownLimit>();
   private readonly sends = new Map<string, slidingCount.SlidingCount>();
@@ -98,14 +104,14 @@
 
   constructor(private readonly options: RateLimitsOptions) {}
 
-  /** Notes what an answer of an upstream says; undefined: no limit. */
+  /** Records the limit in an answer of an upstream; undefined for none. */
   record(id: string, perSecond: number | undefined): void {
     if (perSecond !== undefined || this.knownLimits.has(id)) {
       this.set(id, perSecond, this.options.now());
     }
   }
 
-  /** Takes in what another instance tells. */
+  /** Merges the limits reported by another instance. */
   merge(reports: readonly ReportedLimit[]): void {
     const now = this.options.now();
     for (const {id, perSecond, ageMs} of reports) {
@@ -118,7 +124,7 @@
     }
   }
 
-  /** What this instance tells others. */
+  /** Limits to report to other instances now. */
   report(): readonly ReportedLimit[] {
     const now = this.options.now();
     const isRepeatDue = now % REPEAT_EVERY_MS < REPEAT_MS;
@@ -131,7 +137,7 @@
     );
   }
 
-  /** Notes that a request is sent to an upstream. */
+  /** Records a request sent to an upstream. */
   recordSend(id: string): void {
     const now = this.options.now();
     const sends =
@@ -141,7 +147,7 @@
     this.lastSendMs.set(id, now);
   }
 
-  /** Whether this instance may send one more request to an upstream now. */
+  /** Whether this instance may send another request to an upstream now. */
   maySend(id: string): boolean {
     const perSecond = this.find(id);
     if (perSecond === undefined) {
@@ -157,14 +163,14 @@
     return sent < requests;
   }
 
-  /** Requests a second that an upstream takes; undefined: it names no limit. */
+  /** Current limit of an upstream in requests a second, if it has one. */
   find(id: string): number | undefined {
     const known = this.knownLimits.get(id);
     const isKnown = known && this.options.now() - known.atMs <= EXPIRY_MS;
     return isKnown ? known.perSecond : undefined;
   }
 
-  /** Forgets upstreams that are no longer there. */
+  /** Drops the state of upstreams that are not in `ids`. */
   retain(ids: ReadonlySet<string>): void {
     for (const byId of [
       this.knownLimits,
@@ -196,7 +202,7 @@
     this.options.onChange(id, perSecond);
   }
 
-  /** Kept for a while: hundreds of instances would be ranked for each request. */
+  /** Cached, as computing it ranks all instances, which may be hundreds. */
   private findShare(id: string, perSecond: number, now: number): Share {
     const known = this.shares.get(id);
     if (known?.perSecond === perSecond && now - known.atMs < SHARE_CACHE_MS) {
@@ -216,7 +222,7 @@
   }
 }
 
-/** Time between two requests at a rate, in milliseconds. */
+/** Time between two requests at a rate, bounded, in milliseconds. */
 const findSendIntervalMs = (perSecond: number): number =>
   Math.min(MAX_SEND_INTERVAL_MS, MS_PER_S / perSecond);
 
--- a/packages/decisions/src/repeat-budget.ts
+++ b/packages/decisions/src/repeat-budget.ts
@@ -1,29 +1,30 @@
 /**
- * How many requests one instance may send again, by what it sent within the
- * window in which operators count.
+ * Limits how many requests one instance may repeat, relative to the requests
+ * that it sent within the window in which operators count.
  *
- * Load: a fleet of which each instance sees a few requests a second, and every
- * other one wants a second, more capable model. Harm prevented: repeats that
- * multiply the load of upstreams which fail; and, the other way, repeats that
- * are refused though the fleet is far below its bound: saved up no further than
- * an instance's small part of the slack, what was earned a second before is
- * forgotten.
+ * Load: instances that each see a few requests a second, of which every other
+ * one needs a second, more capable model. Harm prevented: repeats that multiply
+ * the load of failing upstreams; and repeats that are refused although the
+ * fleet is far below its limit. A token bucket capped at an instance's small
+ * share of the slack would cause the latter, as it discards what was earned a
+ * second before.
  *
- * In every window an instance's repeats stay within its part of the slack and
- * the ratio of its own requests; so do all together, without a message.
+ * In every window, the repeats of an instance stay within its share of the
+ * slack plus the ratio of its own requests. So the repeats of all instances
+ * stay within the total, without messages between them.
  */
 import * as slidingCount from './sliding-count.js';
 
-/** Settings of a budget. */
+/** Options of `RepeatBudget`. */
 export interface RepeatBudgetOptions {
-  /** Repeats for each request. */
+  /** Repeats allowed for each request. */
   readonly ratio: number;
   /** Length of the window, in milliseconds. */
   readonly windowMs: number;
   readonly now: () => number;
 }
 
-/** Parts that make a whole sum to a little under 1 in floating point. */
+/** Fractions that add up to 1 may sum to slightly less in floating point. */
 const ROUNDING_TOLERANCE = 1e-9;
 
 interface Counts {
@@ -31,34 +32,34 @@
   readonly repeats: slidingCount.SlidingCount;
 }
 
-/** Repeats of one instance, for each service. */
+/** Repeat budget of one instance, kept separately for each service. */
 export class RepeatBudget {
   private readonly byService = new Map<string, Counts>();
   private slack = 0;
 
   constructor(private readonly options: RepeatBudgetOptions) {}
 
-  /** Sets this instance's part of the repeats on top of the ratio. */
+  /** Sets this instance's share of the repeats allowed on top of the ratio. */
   setSlack(slack: number): void {
     this.slack = slack;
   }
 
   /**
-   * Whether there is a repeat to take.
+   * Whether a repeat is available.
    *
-   * @param reserve part of the slack, 0 to 1, that must be left afterwards.
+   * @param reserve fraction of the slack, 0 to 1, that must remain afterwards.
    */
   hasRepeat(service: string, reserve = 0): boolean {
     const left = this.leftFor(this.countsOf(service));
     return left >= 1 + reserve * this.slack - ROUNDING_TOLERANCE;
   }
 
-  /** Notes that a request is sent for the first time. */
+  /** Records the first sending of a request. */
   recordRequest(service: string): void {
     this.countsOf(service).requests.add(this.options.now());
   }
 
-  /** Takes one repeat; false when there is none left. */
+  /** Takes one repeat from the budget; returns false when none is left. */
   take(service: string): boolean {
     if (!this.hasRepeat(service)) {
       return false;
--- a/packages/decisions/src/retry-budget.ts
+++ b/packages/decisions/src/retry-budget.ts
@@ -1,45 +1,48 @@
 /**
- * Retry budget per target and for all targets of an instance together:
- * retries may add at most a tenth to first attempts.
+ * Limits the retries of an instance, for each target and for all targets
+ * together, to at most a tenth of the first attempts.
  *
- * Made for an overloaded or failing target: without a bound, each layer's
- * retries multiply the load that made it fail, and it never recovers.
+ * Load: an overloaded or failing target. Harm prevented: unbounded retries of
+ * each layer multiply the load that made the target fail, and it never
+ * recovers.
  */
 
 /**
  * Retries earned by each first attempt. A little under the 10% that retries
- * may add, as saved ones come on top: the bound holds over any 300 attempts.
+ * may add, as saved retries come on top: 10% holds over any 300 attempts.
  */
 export const DEFAULT_RETRY_RATIO = 0.09;
 
 /**
- * Most retries saved up, for one target and for all together: enough for one
- * lost connection, too few for a storm after a quiet hour.
+ * Maximum retries saved up, for one target and for all together: enough for
+ * one lost connection, too few for a retry storm after an hour of low load.
  */
 export const DEFAULT_RETRY_BURST = 3;
 
-/** Tokens held at the start, so that a quiet target may be retried at all. */
+/** Tokens at the start, so that a rarely used target may be retried at all. */
 const INITIAL_TOKENS = 1;
 
-/** Parts that make a whole sum to a little under 1 in floating point. */
+/** Fractions that add up to 1 may sum to slightly less in floating point. */
 const ROUNDING_TOLERANCE = 1e-9;
 
-/** Targets remembered; past it the least recently used one is forgotten. */
+/** Maximum targets tracked; beyond it the least recently used is evicted. */
 const MAX_TARGETS = 20_000;
 
-/** Settings of a retry budget. */
+/** Options of `RetryBudget`. */
 export interface RetryBudgetOptions {
+  /** Retries earned by each first attempt. */
   readonly ratio?: number;
+  /** Maximum retries saved up. */
   readonly burst?: number;
-  /** Retries at the start, at most `burst`; 1 by default. */
+  /** Retries available at the start, at most `burst`; 1 by default. */
   readonly initial?: number;
 }
 
-/** Token buckets of retries, one for each target. */
+/** Token buckets of retries: one for each target, and a shared one. */
 export class RetryBudget {
   private readonly ratio: number;
   private burst: number;
-  /** Over all targets: else each of many adds what it saved. */
+  /** Bounds all targets together, as each of many may have saved retries. */
   private sharedTokens: number;
   private readonly initial: number;
   private readonly tokens = new Map<string, number>();
@@ -52,27 +55,27 @@
   }
 
   /**
-   * Whether there is a retry to take.
+   * Whether a retry is available.
    *
-   * @param reserve part of the burst, 0 to 1, that must be left afterwards.
+   * @param reserve fraction of the burst, 0 to 1, that must remain afterwards.
    */
   hasRetry(target: string, reserve = 0): boolean {
     const left = Math.min(this.read(target), this.sharedTokens);
     return left >= 1 + reserve * this.burst - ROUNDING_TOLERANCE;
   }
 
-  /** Changes how many retries may be saved up. */
+  /** Changes the maximum number of retries saved up. */
   setBurst(burst: number): void {
     this.burst = burst;
   }
 
-  /** Notes a first attempt at a target; each earns a part of a retry. */
+  /** Records a first attempt at a target, which earns a fraction of a retry. */
   recordAttempt(target: string): void {
     this.sharedTokens = Math.min(this.burst, this.sharedTokens + this.ratio);
     this.write(target, Math.min(this.burst, this.read(target) + this.ratio));
   }
 
-  /** Takes one retry from the budget; false when there is none left. */
+  /** Takes one retry from the budget; returns false when none is left. */
   tryRetry(target: string): boolean {
     const tokens = this.read(target);
     if (!this.hasRetry(target)) {
--- a/packages/decisions/src/rollout-evaluation.ts
+++ b/packages/decisions/src/rollout-evaluation.ts
@@ -1,35 +1,35 @@
 /**
- * Decides how far a new version is exposed: steps are bought by evidence, and
- * a version that turns bad is stopped.
+ * Decides which share of the sessions a new version gets: the share grows in
+ * steps as evidence accumulates, and a version that turns bad is stopped.
  *
- * Load: one roll-out on most days, sessions on a thousand instances, of which
- * none sees enough alone. Harm prevented: bad answers to callers while nobody
- * has noticed, and a good version withdrawn by chance. The state is plain
- * JSON, kept with the roll-out's object: any instance that takes the lease
- * resumes it under its own fencing number.
+ * Load: a rollout on most days, with sessions on up to a thousand instances,
+ * none of which sees enough answers to judge alone. Harm prevented: bad answers
+ * that nobody notices, and a good version that is withdrawn by chance. The
+ * state is plain JSON and stored with the rollout: any instance that takes the
+ * lease resumes it under its own fencing number.
  */
 
 import * as rendezvous from './rendezvous.js';
 import * as rolloutEvidence from './rollout-evidence.js';
 import * as sequentialTest from './sequential-test.js';
 
-/** What the guard found, at one look. */
+/** Result of one evaluation, with the share of sessions for the new version. */
 export type RolloutDecision =
   | {readonly kind: 'hold'; readonly share: number}
   | {readonly kind: 'advance'; readonly share: number}
   | {readonly kind: 'stop'; readonly share: 0; readonly reason: StopReason};
 
-/** What a stopped version was worse in. */
+/** Outcome in which a stopped version was worse than the old one. */
 export type StopReason = 'errors' | 'latency' | 'ratings';
 
-/** A roll-out in progress. Plain JSON. */
+/** State of a rollout. Plain JSON. */
 export interface RolloutState {
-  /** Place in the roll-out's steps. */
+  /** Index in the steps of the rollout. */
   readonly step: number;
   /** Share of new sessions, 0 to 1, that the new version gets. */
   readonly share: number;
   readonly stopped?: StopReason;
-  /** Evidence already judged. */
+  /** Evidence already counted in the ratios below. */
   readonly judged: rolloutEvidence.EvidenceByInstance;
   /** Rated answers of the new version so far. */
   readonly rated: number;
@@ -38,43 +38,43 @@
   readonly ratings: sequentialTest.LogLikelihoodRatios;
 }
 
-/** What one look starts from. */
+/** Input of one evaluation. */
 export interface RolloutInput {
-  /** Growing shares of new sessions, 0 to 1, the last being 1. */
+  /** Increasing shares of new sessions, 0 to 1; the last is 1. */
   readonly steps: readonly number[];
   readonly evidence: rolloutEvidence.EvidenceByInstance;
-  /** Requests a second of the model, all versions together. */
+  /** Requests a second to the model, both versions together. */
   readonly requestRate: number;
-  /** How late ratings are, in seconds. */
+  /** Delay of ratings, in seconds. */
   readonly ratingDelay: number;
 }
 
 /**
- * Chance that a good version is ever stopped; the issue allows 1%, and the
- * mixture's bound is not tight.
+ * Bound on the probability that a good version is ever stopped. The requirement
+ * is 1%; the bound of the mixture is not tight.
  */
 const FALSE_STOP_RATE = 0.009;
-/** Errors, latency and ratings share the chance of a false stop. */
+/** Errors, latency and ratings: the false stop rate is divided among them. */
 const TEST_COUNT = 3;
 const STOP_BOUND = Math.log(TEST_COUNT / FALSE_STOP_RATE);
-/** Doubt, as a log: at this much evidence against, exposure grows no more. */
+/** Log evidence against a version above which its share no longer grows. */
 const DOUBT_BOUND = Math.log(3);
-/** A worse version is cleared by chance at most this often. */
+/** Bound on the probability that a worse version is cleared by chance. */
 const FALSE_CLEARANCE_RATE = 0.02;
 const CLEAR_BOUND = Math.log(1 / FALSE_CLEARANCE_RATE);
 /**
- * Beyond this share a version must be cleared of being worse. At this share
- * all its answers are rated and the old version has most of the budget.
+ * Share above which a version must be cleared of being worse. Up to it, all of
+ * its answers can be rated while the old version keeps most of the budget.
  */
 const SMALL_SHARE = 0.02;
-/** Answers that may wait for a rating before any has come. */
+/** Answers that may await a rating before the first rating. */
 const INITIAL_OUTSTANDING = 20;
-/** Answers that may wait for a rating for each that has come. */
+/** Further answers that may await a rating, for each rating received. */
 const OUTSTANDING_GROWTH = 0.3;
-/** Rated answers that buy each of the first steps. */
+/** Rated answers of the new version needed for each step. */
 const RATED_PER_STEP = 40;
 
-/** A roll-out that has not begun. */
+/** Creates the state of a rollout that has not started. */
 export const createRolloutState = (): RolloutState => ({
   step: 0,
   share: 0,
@@ -135,9 +135,9 @@
 };
 
 /**
- * Share at which no more answers wait for a rating than the evidence so far
- * justifies: at a high rate even a small step would otherwise hand out
- * thousands of bad answers before the first rating comes.
+ * Limits the share so that no more answers await a rating than the evidence so
+ * far justifies. Otherwise, at a high request rate, even a small step could
+ * give thousands of bad answers before the first rating arrives.
  */
 const boundShare = (state: RolloutState, input: RolloutInput): number => {
   const step = input.steps[state.step] ?? 1;
@@ -150,7 +150,7 @@
   return Math.min(step, outstanding / arriving);
 };
 
-/** Takes in the evidence counted so far and decides the share. */
+/** Adds new evidence to the state and decides the share of the new version. */
 export const evaluateRollout = (
   before: RolloutState,
   input: RolloutInput,
@@ -174,14 +174,14 @@
   return {state: {...stepped, share}, decision: {kind, share}};
 };
 
-/** A version of the two in a roll-out. */
+/** One of the two versions in a rollout. */
 export type RolloutVersion = 'old' | 'new';
 
 const HASH_RANGE = 2 ** 32;
 
 /**
- * Version of a new session: every instance assigns the same, and a session
- * that got the new version at one share gets it at any larger one.
+ * Assigns a version to a new session. All instances assign the same one, and a
+ * session that gets the new version at one share gets it at any larger share.
  */
 export const assignVersion = (
   rollout: string,
@@ -192,15 +192,16 @@
   return hash / HASH_RANGE < share ? 'new' : 'old';
 };
 
-/** Shares, 0 to 1, of each version's answers to have rated. */
+/** Fractions, 0 to 1, of the answers of each version that are to be rated. */
 export interface RatingShares {
   readonly old: number;
   readonly new: number;
 }
 
 /**
- * Spends the ratings that `budget`, a share of all answers, allows where they
- * tell most: on the new version first, up to half, while its share is small.
+ * Divides `budget`, a fraction of all answers, between the versions. While the
+ * share of the new version is small, its answers are rated first, with up to
+ * half of the budget, as they are the most informative.
  */
 export const allocateRatings = (
   share: number,
--- a/packages/decisions/src/rollout-evidence.ts
+++ b/packages/decisions/src/rollout-evidence.ts
@@ -1,20 +1,20 @@
 /**
- * Evidence about two versions, counted on every entry instance. Counters only
- * grow and are kept per instance, so that reports may come late, twice or out
- * of order, and merging them loses and doubles nothing.
+ * Evidence about the two versions of a rollout, counted on every entry
+ * instance. Counters only grow and are kept per instance, so that reports may
+ * arrive late, twice or out of order without being lost or counted twice.
  */
 
-/** What one instance saw of one version since it started. */
+/** Outcomes of one version that one instance counted since its start. */
 export interface VersionCounts {
   /** Finished requests. */
   readonly requests: number;
-  /** Requests that ended in an error of the upstream. */
+  /** Requests that failed with an error of the upstream. */
   readonly errors: number;
-  /** Requests slower than the roll-out's latency bound. */
+  /** Requests slower than the latency bound of the rollout. */
   readonly slow: number;
-  /** Streams whose pace was seen. */
+  /** Streams whose pace was measured. */
   readonly paced: number;
-  /** Streams whose events came slower than the roll-out's bound. */
+  /** Streams whose events came more slowly than the bound of the rollout. */
   readonly dragging: number;
   /** Answers rated. */
   readonly rated: number;
@@ -22,19 +22,19 @@
   readonly bad: number;
 }
 
-/** What one instance saw of both versions. Plain JSON. */
+/** Outcomes of both versions. Plain JSON. */
 export interface RolloutEvidence {
   readonly old: VersionCounts;
   readonly new: VersionCounts;
 }
 
 /**
- * Evidence by instance. An instance that restarts counts from zero and must
+ * Evidence by instance id. An instance that restarts counts from zero and must
  * use a new id.
  */
 export type EvidenceByInstance = Readonly<Record<string, RolloutEvidence>>;
 
-/** Counts of nothing. */
+/** All counts zero. */
 export const NO_COUNTS: VersionCounts = {
   requests: 0,
   errors: 0,
@@ -45,7 +45,7 @@
   bad: 0,
 };
 
-/** Evidence of nothing. */
+/** Evidence with all counts zero. */
 export const NO_EVIDENCE: RolloutEvidence = {old: NO_COUNTS, new: NO_COUNTS};
 
 const combineCounts = (
@@ -62,7 +62,7 @@
   bad: combine(a.bad, b.bad),
 });
 
-/** Adds to some of the counts. */
+/** Returns the counts with `added` added to those that it names. */
 export const addCounts = (
   counts: VersionCounts,
   added: Partial<VersionCounts>,
@@ -78,7 +78,7 @@
   new: combineCounts(a.new, b.new, combine),
 });
 
-/** The later of two reports of each instance. */
+/** Merges two sets of reports, keeping the later counts of each instance. */
 export const mergeEvidence = (
   a: EvidenceByInstance,
   b: EvidenceByInstance,
@@ -91,7 +91,7 @@
   return merged;
 };
 
-/** The sum of several. */
+/** Sums several pieces of evidence. */
 export const addEvidence = (
   parts: readonly RolloutEvidence[],
 ): RolloutEvidence =>
@@ -101,8 +101,8 @@
   );
 
 /**
- * What `now` counts beyond `before`, over all instances. An instance missing
- * from `now` adds nothing; a late, older report adds nothing either.
+ * Sums over all instances what `now` counts beyond `before`. An instance that
+ * is missing from `now` adds nothing, nor does an older report.
  */
 export const findNewEvidence = (
   before: EvidenceByInstance,
--- a/packages/decisions/src/rollout-schedule.ts
+++ b/packages/decisions/src/rollout-schedule.ts
@@ -1,124 +1,128 @@
 /**
- * Decides how much of a service's traffic a new version gets while an order
- * to roll it out runs, and when the order ends.
+ * Decides which share of a service's traffic a new version gets during a
+ * rollout, and when and how the rollout ends.
  *
- * Load: an order with a deadline, seen by every instance, whose version may be
- * bad at once, after a while, under load, or on one route only. Harm
- * prevented: more bad answers than operators bear, a good version that misses
- * its deadline, and sessions thrown between versions. All instances compute
- * the same share from the order's age and the evidence pooled among them.
+ * Load: a rollout with a deadline, carried out by every instance, whose version
+ * may be bad at once, after a while, under load, or on one route only. Harm
+ * prevented: more bad answers than operators tolerate, a good version that
+ * misses its deadline, and sessions that switch back and forth between
+ * versions. All instances compute the same share from the age of the rollout
+ * and the evidence pooled among them.
  */
 import * as rolloutEvidence from './rollout-evidence.js';
 import * as sequentialTest from './sequential-test.js';
 
-/** What the schedule starts from. Times are in milliseconds. */
+/** Timing of a rollout. Times are in milliseconds. */
 export interface RolloutTiming {
-  /** Time since the order. */
+  /** Time since the start of the rollout. */
   readonly ageMs: number;
-  /** Time from the order until it must have ended. */
+  /** Time from the start to the deadline. */
   readonly durationMs: number;
-  /** Time within which requests of a session belong together. */
+  /** Idle time after which a session ends. */
   readonly sessionMs: number;
 }
 
 /**
- * What is known of the new version.
+ * Verdict on the new version.
  *
  * - `bad`: it is stopped.
- * - `doubtful`: it fails so much more often that it gets no more than its
- *   first share.
- * - `unproved`: it may be tried with all traffic, but is not reported as done.
- * - `unclear`: nothing was seen of it, nor much of the old one.
+ * - `doubtful`: it fails so much more often than the old version that its share
+ *   stays at the initial one.
+ * - `unproved`: it may get full traffic, but its rollout can't complete yet.
+ * - `unclear`: it has too few answers to judge, and so has the old version.
+ * - `good`: by its failures it is less likely to be worse than to be as good.
  */
 export type VersionVerdict =
   'bad' | 'doubtful' | 'unproved' | 'unclear' | 'good';
 
 /**
- * Part of the allowed share that is used until half of the time has passed:
- * room for instances that count apart, and for repeats.
+ * Fraction of the allowed share that is used before the phase of full traffic.
+ * The rest is a margin for instances that count separately, and for repeats.
  */
 const INITIAL_FRACTION = 0.6;
 
 /**
- * Time for which the exposure is held back beyond a session's own, in ms:
- * sessions that were under way at the order stay with the old version, and
- * instances have to hear of them from each other.
+ * Time, in addition to that of a session, for which the new version gets
+ * nothing, in ms: sessions that are active at the start of the rollout stay on
+ * the old version, and instances have to learn of them from each other.
  */
 const SESSION_LAG_MS = 700;
 
-/** Part of the time after which sessions may move to the new version. */
+/**
+ * Fraction of the duration after which sessions may move to the new version.
+ */
 const SESSION_MOVES_FROM = 0.5;
 
 /**
- * Least and largest part of the time, counted from its end, in which the new
- * version gets all traffic; see `findFullTrafficMs`.
+ * Bounds on the phase of full traffic at the end of a rollout, as fractions of
+ * its duration; see `findFullTrafficMs`.
  */
 const FULL_TRAFFIC_RANGE = {min: 0.06, max: 0.3};
 
 /**
- * Part of the exposure that operators bear which is planned for. Instances
- * count what they send and not what reaches an upstream twice.
+ * Fraction of the allowed exposure that is planned for. Instances count the
+ * requests that they send, but not those that reach an upstream twice.
  */
 const PLANNED_FRACTION = 0.8;
 
 /**
- * How many times faster than until now requests may come in the lead. Callers
- * come in waves and repeat what fails, and an answer in progress is not counted
- * yet; without room for them a bad version gets more than is borne.
+ * Factor by which the request rate may rise during full traffic. Callers come
+ * in waves and repeat failed requests, and answers in progress are not counted
+ * yet; without this margin a bad version gets more than the allowed exposure.
  */
 const RATE_MARGIN = 1.4;
 
 /**
- * Time before the deadline at which the order is reported as done, as a part
- * of its duration and in ms at the least: a write that is lost is repeated.
+ * Time before the deadline at which the outcome of a rollout is reported, as a
+ * fraction of its duration and as a minimum in ms. It leaves time to repeat a
+ * write that is lost.
  */
 const REPORT_FRACTION = 0.04;
 const MIN_REPORT_MS = 600;
 
 /**
- * Odds against a version, as a log, at which it is stopped. By the sequential
- * test a version as good as the old one gets there in one order out of as many
- * at the most.
+ * Log odds against a version at which it is stopped. By the sequential test, a
+ * version as good as the old one reaches them in at most one rollout in 20.
  */
 const BAD_BOUND = Math.log(20);
 
 /**
- * Odds ratios of slow answers that a version is suspected of. Upstreams whose
- * caches still fill are more often slow than the old ones, too; the least ratio
- * leaves room for that.
+ * Odds ratios of slow answers that are tested for. Upstreams of a good version
+ * are also slow more often than the old ones while their caches fill; the
+ * smallest ratio tolerates that.
  */
 const SLOW_ODDS = [4, 8, 20] as const;
 
 /**
- * The same by slow answers: higher, for a new version's upstreams begin with
- * empty caches and are fewer, so that load makes more of its answers slow.
+ * Log odds by slow answers at which a version is stopped. They are higher, as
+ * the upstreams of a new version start with empty caches and are fewer, so that
+ * load makes more of its answers slow.
  */
 const SLOW_BOUND = Math.log(50);
 
 /**
- * Odds by failures against a version, as a log, with which it gets no more
- * than its first share and is not reported as done: where the old version's
- * answers fail too, the odds grow slowly, and at the deadline they may still
- * be below those of a stop.
+ * Log odds by failures at which a version keeps its initial share and its
+ * rollout does not complete. Where answers of the old version fail too, the
+ * odds grow slowly, and at the deadline they may still be below `BAD_BOUND`.
  */
 const DOUBT_BOUND = Math.log(4);
 
-/** Answers of the new version below which nothing is said in its favour. */
+/** Minimum answers of the new version for a verdict in its favour. */
 const MIN_NEW_ANSWERS = 5;
 
 /**
- * Answers of the old version below which nobody uses the service: a new one
- * that was never asked then stands for what nobody asks.
+ * Answers of the old version below which the service counts as unused. The
+ * rollout of a new version with too few answers may then complete.
  */
 const IDLE_ANSWERS = 20;
 
-/** Evidence of one order by route, and by instance within it. */
+/** Evidence of one rollout by route, and by instance within a route. */
 export type EvidenceByRoute = ReadonlyMap<
   string,
   rolloutEvidence.EvidenceByInstance
 >;
 
-/** What all instances counted on all routes of an order. */
+/** Sums the evidence of all instances on all routes of a rollout. */
 export const sumEvidence = (
   byRoute: EvidenceByRoute,
 ): rolloutEvidence.RolloutEvidence =>
@@ -128,11 +132,11 @@
     ),
   );
 
-/** What a version can be worse in. */
+/** Comparison of the two versions by one kind of bad outcome. */
 interface Comparison {
   readonly block: sequentialTest.OutcomeBlock;
   readonly oddsRatios: readonly number[];
-  /** Odds, as a log, at which a version is stopped by this comparison. */
+  /** Log odds at which this comparison stops the new version. */
   readonly bound: number;
 }
 
@@ -164,14 +168,15 @@
   ];
 };
 
-/** Log of the odds against the new version by one comparison. */
+/** Log odds against the new version by one comparison. */
 const findLogOdds = ({block, oddsRatios}: Comparison): number => {
-  // A version that nobody compares with still has a few good answers.
+  // A few good answers of the old version are assumed, so that the new one can
+  // be judged where the old one has none.
   const oldCount = block.oldCount + MIN_NEW_ANSWERS;
   return sequentialTest.findBlockEvidence({...block, oldCount}, oddsRatios);
 };
 
-/** How far the odds are beyond a bound, in what the version is worst in. */
+/** Largest excess of the log odds over the bound of their comparison. */
 const findExcess = (evidence: rolloutEvidence.RolloutEvidence): number =>
   Math.max(
     ...listComparisons(evidence).map(
@@ -179,20 +184,19 @@
     ),
   );
 
-/** Log of the odds against the new version by failures alone. */
+/** Log odds against the new version by failures alone. */
 const findErrorLogOdds = ({
   old: o,
   new: n,
 }: rolloutEvidence.RolloutEvidence): number => findLogOdds(compareErrors(o, n));
 
 /**
- * Judges the new version by all evidence of an order.
+ * Judges the new version by all evidence of a rollout.
  *
- * A version may be bad on one route alone: among the answers of all routes its
- * failures are as rare as chance ones.
- * Each route is therefore judged by itself as well. The bound grows with the
- * routes, so that a good version is as rarely stopped on any of them as by all
- * answers together.
+ * A version that is bad on one route only may have so few failures among the
+ * answers of all routes that they look like chance. Each route is therefore
+ * also judged by itself. The bound grows with the number of routes, so that a
+ * good version is stopped on any of them as rarely as by all answers together.
  */
 export const judgeVersion = (byRoute: EvidenceByRoute): VersionVerdict => {
   const all = sumEvidence(byRoute);
@@ -213,29 +217,30 @@
   return findErrorLogOdds(all) > 0 ? 'unproved' : 'good';
 };
 
-/** Time after an order during which the new version gets nothing. */
+/** Time from the start of a rollout in which the new version gets nothing. */
 export const findHoldMs = (sessionMs: number): number =>
   sessionMs + SESSION_LAG_MS;
 
-/** Whether sessions of the old version may move to the new one. */
+/** Whether sessions on the old version may move to the new one. */
 export const mayMoveSessions = (timing: RolloutTiming): boolean =>
   timing.ageMs >= SESSION_MOVES_FROM * timing.durationMs;
 
-/** How much of a service's traffic an unproved version may see. */
+/** Allowed exposure: requests that a version may get before it is proved. */
 export interface ExposureLimit {
-  /** Of the requests between the order and its deadline. */
+  /** Share, 0 to 1, of the requests between the start and the deadline. */
   readonly share: number;
-  /** Requests on top. */
+  /** Number of requests on top of the share. */
   readonly slack: number;
 }
 
 /**
- * Time before the deadline at which the new version gets all traffic, in ms.
+ * Length of the phase before the deadline in which the new version gets full
+ * traffic, in ms.
  *
- * A version may be bad only under a load that it does not see at a small
- * share, or turn bad late. With all traffic it is kept within the exposure
- * that operators bear, even if nothing was seen until then: the lead is what
- * is left of that exposure at the rate at which requests come.
+ * A version may be bad only under a load that it does not get at a small share,
+ * or turn bad late. The phase lasts as long as the rest of the allowed exposure
+ * does at the current request rate, so that even a version that turns bad only
+ * then stays within that exposure.
  */
 export const findFullTrafficMs = (
   timing: RolloutTiming,
@@ -243,8 +248,8 @@
   limit: ExposureLimit,
 ): number => {
   const perMs = (o.requests + n.requests) / Math.max(1, timing.ageMs);
-  const borne = limit.share * perMs * timing.durationMs + limit.slack;
-  const left = Math.max(0, PLANNED_FRACTION * borne - n.requests);
+  const allowed = limit.share * perMs * timing.durationMs + limit.slack;
+  const left = Math.max(0, PLANNED_FRACTION * allowed - n.requests);
   const fullTrafficMs = perMs === 0 ? Infinity : left / (RATE_MARGIN * perMs);
   return Math.min(
     FULL_TRAFFIC_RANGE.max * timing.durationMs,
@@ -252,12 +257,12 @@
   );
 };
 
-/** What a share depends on. */
+/** Conditions that determine the share of the new version. */
 export interface RolloutConditions {
   readonly timing: RolloutTiming;
   readonly verdict: VersionVerdict;
   readonly limit: ExposureLimit;
-  /** Time before the deadline at which all traffic moves, in ms. */
+  /** Length of the final phase of full traffic, in ms. */
   readonly fullTrafficMs: number;
 }
 
@@ -278,19 +283,19 @@
 };
 
 /**
- * Whether all that the new version gets goes to few of its upstreams, so that
- * these carry about as much as each will later.
+ * Whether the requests to the new version go to only a few of its upstreams, so
+ * that each of these carries about the load that it will have later.
  */
 export const isConcentrated = (conditions: RolloutConditions): boolean =>
   !hasFullTraffic(conditions);
 
 /**
- * What an order comes to; undefined while it goes on.
+ * Outcome of a rollout; undefined while it continues.
  *
- * Guards against a bad version that looks good by luck: with the old
- * upstreams stopped there is nothing to go back to, and every caller gets its
- * failures. A version is reported as done only if it is less likely worse than
- * as good; an order that was rolled back can be given again.
+ * Guards against completing a bad version that looks good by chance: with the
+ * old upstreams stopped there is no version to return to, and all callers get
+ * its failures. A rollout completes only if its version is less likely to be
+ * worse than to be as good; one that was rolled back can be repeated.
  */
 export const findRolloutEnd = (
   timing: RolloutTiming,
--- a/packages/decisions/src/sample.ts
+++ b/packages/decisions/src/sample.ts
@@ -1,7 +1,7 @@
-/** Draws some of many. */
+/** Random sampling without replacement. */
 
 /**
- * Up to `count` of `items`, each as likely as any other, none twice.
+ * Draws up to `count` of `items`, each with equal probability, none twice.
  *
  * @param random uniform random numbers in [0, 1).
  */
--- a/packages/decisions/src/sequential-test.ts
+++ b/packages/decisions/src/sequential-test.ts
@@ -1,13 +1,14 @@
 /**
- * Sequential test whether a new version has bad outcomes more often than an
- * old one, valid however often it is looked at.
+ * Sequential test of whether a new version has bad outcomes more often than an
+ * old one. It stays valid however often it is evaluated.
  *
- * Each block of outcomes is judged by how its bad ones fall on the two
- * versions: with equal rates each falls on the new version with the new
- * version's share of the block, whatever the rate itself, so that a rate that
- * drifts over the day misleads nobody. The likelihood ratio against several
- * higher odds, mixed, is a test martingale; given the block's bad outcomes
- * the draw is without replacement, for which the ratio's mean stays at most 1.
+ * Each block of outcomes is judged by how its bad ones divide between the two
+ * versions. With equal rates, the probability that a bad outcome is one of the
+ * new version equals the new version's share of the block, whatever the rate
+ * is, so a rate that drifts over the day does not bias the test. The mixture of
+ * likelihood ratios for several higher odds is a test martingale. Given the
+ * bad outcomes of a block, the draw is without replacement, for which the mean
+ * of the ratio is at most 1.
  */
 
 /** Outcomes of both versions in one block. */
@@ -18,12 +19,12 @@
   readonly newBad: number;
 }
 
-/** Log likelihood ratios, one for each of `ODDS_RATIOS`. Plain JSON. */
+/** Log likelihood ratios, one for each odds ratio tested. Plain JSON. */
 export type LogLikelihoodRatios = readonly number[];
 
 /**
- * Odds ratios tested against. The first is also the least worsening that a
- * version must be cleared of before it gets more than a small share.
+ * Odds ratios tested for by default. The first is also the smallest worsening
+ * that a version must be cleared of before it gets more than a small share.
  */
 export const ODDS_RATIOS = [1.5, 2.2, 4, 8, 20] as const;
 
@@ -31,8 +32,8 @@
 export const ZERO_LOG_RATIOS: LogLikelihoodRatios = ODDS_RATIOS.map(() => 0);
 
 /**
- * Log of the mixed evidence of one block that the new version is worse by one
- * of `oddsRatios`.
+ * Log of the mixture of likelihood ratios, for one block, that the new version
+ * is worse by one of `oddsRatios`.
  */
 export const findBlockEvidence = (
   block: OutcomeBlock,
@@ -46,7 +47,7 @@
     ),
   );
 
-/** Takes in a block. A block without both versions tells nothing. */
+/** Adds a block. One without outcomes of both versions changes nothing. */
 export const addBlock = (
   ratios: LogLikelihoodRatios,
   block: OutcomeBlock,
@@ -65,13 +66,13 @@
   });
 };
 
-/** Log of the mixed evidence that the new version is worse. */
+/** Log of the mixture of likelihood ratios that the new version is worse. */
 export const findEvidenceAgainst = (ratios: LogLikelihoodRatios): number => {
   const highest = Math.max(...ratios);
   const sum = ratios.reduce((total, r) => total + Math.exp(r - highest), 0);
   return highest + Math.log(sum / ratios.length);
 };
 
-/** Log evidence that the new version is not worse by the first odds ratio. */
+/** Log evidence that the new version isn't worse by the first odds ratio. */
 export const findEvidenceFor = (ratios: LogLikelihoodRatios): number =>
   -(ratios[0] ?? 0);
--- a/packages/decisions/src/sliding-count.ts
+++ b/packages/decisions/src/sliding-count.ts
@@ -1,6 +1,9 @@
-/** Counts what happened in the last moments. Pure: time is an argument. */
+/**
+ * Counts events and sums amounts over a sliding time window. Time is an
+ * argument.
+ */
 
-/** Events within a window that slides. */
+/** Number of events within a sliding window. */
 export class SlidingCount {
   private times: number[] = [];
   private first = 0;
@@ -8,12 +11,12 @@
   /** @param windowMs length of the window in milliseconds. */
   constructor(private readonly windowMs: number) {}
 
-  /** Notes one event. */
+  /** Records one event. */
   add(nowMs: number): void {
     this.times.push(nowMs);
   }
 
-  /** Events within the window that ends now. */
+  /** Returns the number of events in the window that ends at `nowMs`. */
   count(nowMs: number): number {
     const from = nowMs - this.windowMs;
     while ((this.times[this.first] ?? Infinity) <= from) {
@@ -32,7 +35,7 @@
   readonly amount: number;
 }
 
-/** Sum of amounts within a window that slides. */
+/** Sum of amounts within a sliding window. */
 export class SlidingSum {
   private amounts: Amount[] = [];
   private total = 0;
@@ -40,13 +43,13 @@
   /** @param windowMs length of the window in milliseconds. */
   constructor(private readonly windowMs: number) {}
 
-  /** Notes an amount. */
+  /** Records an amount. */
   add(amount: number, nowMs: number): void {
     this.amounts.push({atMs: nowMs, amount});
     this.total += amount;
   }
 
-  /** Sum within the window that ends now. */
+  /** Returns the sum of the amounts in the window that ends at `nowMs`. */
   sum(nowMs: number): number {
     const from = nowMs - this.windowMs;
     const kept = this.amounts.findIndex(({atMs}) => atMs > from);
--- a/packages/decisions/src/stage-belief.ts
+++ b/packages/decisions/src/stage-belief.ts
@@ -1,53 +1,55 @@
 /**
- * What is known of one model's answers to one kind of task: how often they
- * pass given the engine's own score, and how scores are spread.
+ * Belief about the answers of one model to one kind of task: the probability
+ * that an answer is good given the engine's own score, and the distribution of
+ * scores.
  */
 import * as logisticRegression from './logistic-regression.js';
 
-/** Belief about one stage. Plain JSON. */
+/** Belief about one stage of a cascade. Plain JSON. */
 export interface StageBelief {
+  /** Probability that an answer is good. */
   readonly pass: logisticRegression.LogisticBelief;
-  /** Weighted counts of answers by score bin, the last bin for no score. */
+  /** Weighted counts of answers by score bin; the last bin is for no score. */
   readonly direct: readonly number[];
-  /** The same for answers after an earlier stage's was rejected. */
+  /** The same for answers given after an earlier stage's was rejected. */
   readonly escalated: readonly number[];
 }
 
-/** Cost of what follows a stage's answer. */
+/** Cost of accepting a bad answer, and of escalating instead. */
 export interface AnswerCosts {
-  /** Price of passing on a bad answer. */
+  /** Price of returning a bad answer to the caller. */
   readonly badAnswerCost: number;
-  /** What to expect of going on instead; an infinite loss at the end. */
+  /** Expected outcome of escalating; an infinite loss at the last stage. */
   readonly escalation: ExpectedOutcome;
 }
 
-/** What a plan is expected to come to. */
+/** Expected outcome of a plan. */
 export interface ExpectedOutcome {
-  /** Costs and the price of bad answers. */
+  /** Cost of the answers plus the price of bad ones. */
   readonly loss: number;
-  /** Share of good answers. */
+  /** Fraction of good answers. */
   readonly pass: number;
 }
 
-/** Which answers of a stage are worth passing on. */
+/** Which answers of a stage are accepted. */
 export interface Acceptance {
-  /** Lowest score accepted; above 1 accepts none. */
+  /** Lowest accepted score; a value above 1 accepts none. */
   readonly threshold: number;
   /** Whether an answer without a score is accepted. */
   readonly unscored: boolean;
 }
 
-/** Scores beyond these log odds tell no more. */
+/** Bound on the log odds of scores: more extreme scores say no more. */
 const LOGIT_LIMIT = 4;
 const BIN_COUNT = 8;
 const UNSCORED_BIN = BIN_COUNT;
-/** Answers after which a score's share in the histogram is renewed. */
+/** Weight at which the histogram decays: about the last 1,000 answers count. */
 const HISTOGRAM_WINDOW = 1000;
-/** Answers that the first, flat histogram counts for. */
+/** Number of answers that the initial, flat histogram is worth. */
 const HISTOGRAM_PRIOR = 8;
-/** Threshold that no score reaches. */
+/** Threshold above any score. */
 const ACCEPT_NONE = 2;
-/** Coefficients: base, score, escalated, unscored. */
+/** Priors of the coefficients: intercept, score, escalated, unscored. */
 const PRIOR_MEAN = [0, 0.5, 0, 0];
 const PRIOR_VARIANCE = [4, 0.5, 1, 1];
 
@@ -58,7 +60,7 @@
 const createHistogram = (): readonly number[] =>
   Array.from({length: BIN_COUNT + 1}, () => HISTOGRAM_PRIOR / (BIN_COUNT + 1));
 
-/** The belief about a model never seen on this kind of task. */
+/** Creates the belief about a model with no answers to this kind of task. */
 export const createStageBelief = (): StageBelief => ({
   pass: logisticRegression.createBelief(PRIOR_MEAN, PRIOR_VARIANCE),
   direct: createHistogram(),
@@ -79,7 +81,7 @@
   return histogram.map((n, i) => n * keep + (i === bin ? 1 : 0));
 };
 
-/** Counts an answer's score, rated or not. */
+/** Counts the score of an answer, rated or not. */
 export const recordScore = (
   belief: StageBelief,
   escalated: boolean,
@@ -91,7 +93,7 @@
     : {...belief, direct: countBin(belief.direct, bin)};
 };
 
-/** Takes in the rating, 0 to 1, of an answer. */
+/** Updates the belief by the rating, 0 to 1, of an answer. */
 export const recordRating = (
   belief: StageBelief,
   escalated: boolean,
@@ -109,7 +111,7 @@
   };
 };
 
-/** Widens the belief about passing, as ratings of the task pass by. */
+/** Widens the belief about good answers, so that old ratings lose weight. */
 export const ageStageBelief = (
   belief: StageBelief,
   growth: number,
@@ -118,7 +120,7 @@
   pass: logisticRegression.ageBelief(belief.pass, PRIOR_VARIANCE, growth),
 });
 
-/** Log odds of passing, without the score's part. */
+/** Log odds of a good answer, without the contribution of the score. */
 const findBaseLogit = (
   coefficients: readonly number[],
   escalated: boolean,
@@ -128,14 +130,15 @@
   return base + (escalated ? shift : 0) + (unscored ? missing : 0);
 };
 
-/** A higher score is never taken as a sign of a worse answer. */
+/** Not negative: a higher score never counts as a worse answer. */
 const findSlope = (coefficients: readonly number[]): number =>
   Math.max(0, coefficients[1] ?? 0);
 
 /**
- * What to expect after a stage answered: pass the answer on, or go on. The
- * coefficients decide; the share of good answers is by the belief's mean, so
- * that a plan drawn to explore isn't credited with what it hopes for.
+ * Estimates the outcome after a stage answered, when each answer is accepted
+ * or escalated, whichever loses less by `coefficients`. The fraction of good
+ * answers is estimated by the mean of the belief, so that an exploring plan
+ * isn't credited with the optimistic values that were drawn.
  */
 export const estimateOutcome = (
   belief: StageBelief,
@@ -173,7 +176,7 @@
   return logisticRegression.sigmoid(base + score);
 };
 
-/** Chance, by the mean of the belief, that an answer passes. */
+/** Probability, by the mean of the belief, that an answer is good. */
 export const predictPass = (
   belief: StageBelief,
   escalated: boolean,
@@ -188,7 +191,7 @@
   return logisticRegression.sigmoid(base + findSlope(mean) * x);
 };
 
-/** Which answers lose less by being passed on than by going on. */
+/** Finds which answers lose less by being accepted than by escalating. */
 export const findAcceptance = (
   coefficients: readonly number[],
   escalated: boolean,
--- a/packages/decisions/src/wait-policy.ts
+++ b/packages/decisions/src/wait-policy.ts
@@ -1,6 +1,9 @@
 /**
- * How long requests may wait for admission: long in a burst, short in a queue
- * that never empties, by priority and by the workspace's share.
+ * Decides how long requests may wait for admission, by priority and by the
+ * fair share of the workspace.
+ *
+ * Load: short bursts, and overload that lasts. Harm prevented: a queue that
+ * never empties, which adds wait without adding throughput.
  */
 import type * as fairQueue from './fair-queue.js';
 import type * as slotPool from './slot-pool.js';
@@ -11,36 +14,38 @@
 type Workspace = workspaceQueue.WorkspaceQueue;
 
 /**
- * Share of the wait allowed that the expected wait may take. What is expected
- * errs on the long side already; the rest is for what comes in between.
+ * Fraction of the allowed wait that the estimated wait may take. The estimate
+ * is already pessimistic; the rest is for requests that arrive meanwhile.
  */
-const WAIT_SHARE = 0.4;
+const WAIT_FRACTION = 0.4;
 
-/** The same for a workspace within its share, which is next. */
-const ENTITLED_SHARE = 0.8;
+/** The same for a workspace within its fair share, which is served next. */
+const ENTITLED_WAIT_FRACTION = 0.8;
 
 /**
- * The same in a standing queue. Waits there vary more than they last; this
- * keeps those given up on after a wait near 1% of refusals.
+ * The same in a standing queue, where waits vary by more than their mean. This
+ * value keeps refusals after a wait near 1% of all refusals.
  */
-const STANDING_SHARE = 0.2;
+const STANDING_WAIT_FRACTION = 0.2;
 
 /**
- * Mean service times after which a filled queue counts as standing. Waits of
- * a burst's first moments set the tail, so it is short.
+ * Mean service times after which a non-empty queue counts as standing. It is
+ * short because waits at the start of a burst determine the tail latency.
  */
 const STANDING_AFTER_SERVICES = 0.25;
 
 /**
- * Wait allowed in a standing queue, in mean service times: enough to keep all
- * slots busy between two arrivals, as goodput in the burst shows.
+ * Maximum wait in a standing queue, in mean service times: enough to keep all
+ * slots busy between two arrivals, as goodput in a burst shows.
  */
-const STANDING_WAIT = 0.8;
+const STANDING_WAIT_SERVICES = 0.8;
 
-/** The same for a workspace within its share: the queue is not its own. */
-const ENTITLED_WAIT = 1.1;
+/**
+ * The same for a workspace within its fair share: it did not fill the queue.
+ */
+const ENTITLED_WAIT_SERVICES = 1.1;
 
-/** Bounds on waits, from the state of an admission queue. */
+/** Derives bounds on waits from the state of an admission queue. */
 export class WaitPolicy {
   constructor(
     private readonly slots: slotPool.SlotPool,
@@ -48,19 +53,21 @@
     private readonly standing: standingQueue.StandingQueue,
   ) {}
 
-  /** Share of the wait allowed that the expected wait may take. */
-  waitShare(request: Request, workspace: Workspace, nowMs: number): number {
-    // A workspace within its share is next, whoever else waits.
+  /** Fraction of the allowed wait that the estimated wait may take. */
+  waitFraction(request: Request, workspace: Workspace, nowMs: number): number {
+    // A workspace within its fair share is served next, whoever else waits.
     if (this.fairQueue.isWithinShare(workspace)) {
-      return ENTITLED_SHARE;
+      return ENTITLED_WAIT_FRACTION;
     }
-    return this.isOverloaded(request, nowMs) ? STANDING_SHARE : WAIT_SHARE;
+    return this.isOverloaded(request, nowMs)
+      ? STANDING_WAIT_FRACTION
+      : WAIT_FRACTION;
   }
 
   /**
-   * A queue that never empties adds wait and no throughput: bursts may use the
-   * whole wait that a workspace allows, but a standing queue is kept short, as
-   * by CoDel. Batch work may wait.
+   * Whether the queue that this request joins is a standing one. Bursts may use
+   * the whole wait that a workspace allows, but a standing queue is kept short,
+   * as in CoDel, since it adds wait and no throughput. Batch work may wait.
    */
   isOverloaded(request: Request, nowMs: number): boolean {
     const standingMs = this.standing.standingMs(request.priority, nowMs);
@@ -68,14 +75,14 @@
     return request.priority !== 'batch' && standingMs > limitMs;
   }
 
-  /** Longest wait for admission now, in milliseconds. */
+  /** Current maximum wait for admission, in milliseconds. */
   maxWaitMs(request: Request, workspace: Workspace, nowMs: number): number {
     if (!this.isOverloaded(request, nowMs)) {
       return request.maxWaitMs;
     }
     const services = this.fairQueue.isWithinShare(workspace)
-      ? ENTITLED_WAIT
-      : STANDING_WAIT;
+      ? ENTITLED_WAIT_SERVICES
+      : STANDING_WAIT_SERVICES;
     return Math.min(request.maxWaitMs, services * this.slots.meanServiceMs);
   }
 }
--- a/packages/decisions/src/watch-roles.ts
+++ b/packages/decisions/src/watch-roles.ts
@@ -1,96 +1,102 @@
 /**
- * Decides which instances keep the others up to date, which of these watch the
- * platform's store themselves, and when one that leaves it to others asks the
- * store itself.
+ * Decides which instances are watchers that forward changes to the others,
+ * which watchers watch the platform's store directly, and when another
+ * instance lists the store itself.
  *
- * Load: up to a thousand instances that must all know of each change within
- * seconds, and a store that counts every waiting watch. Harm prevented: calls
- * that grow with the fleet, and instances that rely on a watcher which has
- * lost the store. Every instance works the roles out from the members that it
- * hears of; where two disagree, views grow old and both ask the store.
+ * Load: up to a thousand instances that must all learn of each change within
+ * seconds, and a store that counts every open watch. Harm prevented: calls to
+ * the store that grow with the fleet, and instances that rely on a watcher
+ * which has lost the store. Every instance computes the roles from its member
+ * list; where two lists differ, views become stale and the instances ask the
+ * store.
  */
 import * as rendezvous from './rendezvous.js';
 
-/** An instance that may watch. */
+/** An instance that may become a watcher. */
 export interface WatchCandidate {
   readonly id: string;
   readonly zone: string;
-  /** What its machine gives it, in processor cores. */
+  /** Processor cores available to it. */
   readonly cores: number;
 }
 
-/** What an instance does about one kind of objects now. */
+/** How an instance keeps one kind of objects up to date. */
 export type SyncMode =
-  /** Keep a watch open, for itself and for others. */
+  /** Keep a watch on the store open, for itself and for others. */
   | 'watch'
-  /** Ask the store once: what is known is too old. */
+  /** List the objects once, because the own view is too old. */
   | 'ask'
-  /** Nothing: a watcher brings changes. */
+  /** Rely on a watcher, which forwards changes. */
   | 'none';
 
 /**
- * Instances for each watcher. Each holds one waiting call open at its watcher;
- * a change of some 10 KB to each of so many takes 40 ms of a link of 50 Mbit/s.
+ * Instances for each watcher. Each keeps one long poll open at its watcher;
+ * sending a change of about 10 KB to this many takes 40 ms at 50 Mbit/s.
  */
 const INSTANCES_PER_WATCHER = 24;
 
-/** Least watchers of a fleet: the others go on when one is lost. */
+/** Minimum watchers of a fleet, so that another remains when one is lost. */
 const MIN_WATCHERS = 2;
 
 /**
- * Watchers that watch the store itself; the others are told by these. However
- * large the fleet is, the store has so many watches open for each kind: two,
- * and a third where the loss of both would send hundreds to the store at once.
+ * Watchers that watch the store directly; they forward changes to the other
+ * watchers. This bounds the open watches of the store for each kind, however
+ * large the fleet is. A large fleet has a third, because the loss of both would
+ * make hundreds of instances list the store at once.
  */
 const STORE_WATCHERS = 2;
 const STORE_WATCHERS_OF_LARGE_FLEET = 3;
 
-/** Watchers from which on a fleet has three that watch the store. */
+/** Number of watchers from which a fleet counts as large. */
 const LARGE_FLEET_WATCHERS = 6;
 
 /**
- * Part of the time within which a change must be in force that one watch
- * waits. Changes come at once, however long it waits; its end only shows that
- * the store still answers.
+ * Duration of one watch, as a fraction of the time within which a change must
+ * be active. Changes end a watch at once, however long it may last; its end
+ * without a change only shows that the store still answers.
  */
 const WATCH_FRACTION = 0.45;
 
 /**
- * Age, as a part of that time, at which a watch ends at the latest, and the
- * least part that one waits. An answer with changes confirms only what was
- * known when it was asked for: after one that comes at the end of a watch,
- * another whole watch makes a watcher look as if it had lost the store.
+ * Age of the view, as a fraction of that time, at which a watch ends at the
+ * latest, and the minimum duration of a watch. An answer with changes confirms
+ * only the state at the start of its watch. If it comes at the end of one, a
+ * second watch of full length would make it look as if the watcher had lost
+ * the store.
  */
 const CONFIRMED_FRACTION = 0.5;
 const MIN_WATCH_FRACTION = 0.1;
 
 /**
- * Part of that time for which a watcher waits after changes. Much less than
- * instances may take to act on them.
+ * Pause of a watcher after changes, as a fraction of that time. It is much
+ * shorter than the time that instances have to apply them.
  */
 const CHANGE_PAUSE_FRACTION = 0.1;
 
 /**
- * Age, as a part of that time, from which what a watcher knows is too old: it
- * has lost the store, and another one is asked. More than one watch takes.
+ * Age, as a fraction of that time, from which the view of a watcher is stale.
+ * The watcher then counts as having lost the store, and another one is asked.
+ * It is longer than one watch.
  */
 const STALE_FRACTION = 0.6;
 
 /**
- * Part of that time after which an instance asks the store itself. It is more
- * than one watch and the way from the watcher take, so that a calm day never
- * comes to it, and leaves time for a call that has to be repeated.
+ * Age, as a fraction of that time, from which an instance lists the store
+ * itself. It is longer than one watch plus the transfer from the watcher, so
+ * that it is not reached in normal operation, and it leaves time to repeat a
+ * failed call.
  */
 const ASK_FRACTION = 0.75;
 
-/** Names the ranking of instances; any fixed text does. */
+/** Key of the ranking of instances. Any fixed text would do. */
 const ROLE_KEY = 'watch';
 
 /**
- * Instances that keep the others up to date, the same on all instances, the
- * first for the store itself first. They lie in as many zones as can be, so that no zone that is lost takes them all. One with
- * more cores is chosen as much more often: a watcher works for its followers
- * beside its own callers.
+ * Returns the ids of the watchers, the same on all instances; those that come
+ * first watch the store directly. They are spread over as many zones as
+ * possible, so that the loss of a zone does not affect all of them. Instances
+ * are chosen in proportion to their cores, because a watcher serves its
+ * followers in addition to its own callers.
  */
 export const findWatchers = (
   members: readonly WatchCandidate[],
@@ -118,7 +124,7 @@
   return spread.slice(0, count);
 };
 
-/** Of all watchers, in their order, those that watch the store. */
+/** Returns those of the ranked watchers that watch the store directly. */
 export const findStoreWatchers = (
   watchers: readonly string[],
 ): readonly string[] =>
@@ -130,10 +136,11 @@
   );
 
 /**
- * Instances that one may be told of changes by, best first: watchers of its
- * own zone, then of others. Instances spread over them; a watcher is told by
- * those alone that watch the store, for two watchers that told each other
- * would both know nothing new.
+ * Returns the watchers that an instance may get changes from, best first: those
+ * of its own zone, then the others. Within a zone the ranking differs by
+ * instance, which spreads the load. A watcher gets changes only from those that
+ * watch the store, because two watchers that relied on each other would both
+ * learn nothing new.
  */
 export const rankSources = (
   self: Pick<WatchCandidate, 'id' | 'zone'>,
@@ -154,9 +161,9 @@
 };
 
 /**
- * Time that one watch waits, in ms, for changes due within `boundMs`.
+ * Maximum duration of a watch, in ms, for changes due within `boundMs`.
  *
- * @param ageMs time since what is known was known to be complete.
+ * @param ageMs time since the view was last known to be complete.
  */
 export const findWatchDurationMs = (boundMs: number, ageMs: number): number =>
   Math.min(
@@ -168,26 +175,27 @@
   );
 
 /**
- * Pause, in ms, after a watch that brought changes due within `boundMs`. When
- * upstreams are replaced in series, each entry would else end a watch; at most
- * ten do in the time of one bound.
+ * Pause, in ms, after a watch that returned changes due within `boundMs`. It
+ * allows at most ten watches within one bound; otherwise each change would end
+ * a watch when upstreams are replaced one after the other.
  */
 export const findChangePauseMs = (boundMs: number): number =>
   CHANGE_PAUSE_FRACTION * boundMs;
 
-/** Age, in ms, from which a watcher's word on such changes is too old. */
+/** Age, in ms, from which the view of a watcher is stale. */
 export const findStaleAfterMs = (boundMs: number): number =>
   STALE_FRACTION * boundMs;
 
-/** Age, in ms, from which an instance asks for changes due within `boundMs`. */
+/** Age of its view, in ms, from which an instance lists the store itself. */
 export const findAskAfterMs = (boundMs: number): number =>
   ASK_FRACTION * boundMs;
 
 /**
- * What to do about a kind whose changes must be in force within `boundMs`.
+ * Decides how to sync a kind of objects whose changes must be active within
+ * `boundMs`.
  *
- * @param watchesStore whether the instance is one of those that watch it.
- * @param ageMs time since what is known was known to be complete.
+ * @param watchesStore whether the instance watches the store directly.
+ * @param ageMs time since the view was last known to be complete.
  */
 export const findSyncMode = (
   watchesStore: boolean,
--- a/packages/decisions/src/workspace-queue.ts
+++ b/packages/decisions/src/workspace-queue.ts
@@ -1,9 +1,14 @@
-/** Waiting requests of one workspace, and its place in virtual time. */
+/**
+ * Waiting requests of one workspace at one entry instance, its virtual time,
+ * and the accuracy of its recent wait estimates.
+ */
 import * as heap from 'heap-js';
 import * as demandMeter from './demand-meter.js';
 import * as movingEstimate from './moving-estimate.js';
 
-/** How urgent a request is; the same words as in the environment document. */
+/**
+ * How urgent a request is; the values are those of the environment document.
+ */
 export type AdmissionPriority = 'door_check' | 'interactive' | 'batch';
 
 /** All priorities, most urgent first. */
@@ -13,46 +18,46 @@
   'batch',
 ];
 
-/** A request that asks to run. Times are in milliseconds. */
+/** A request for admission. Times are in milliseconds. */
 export interface AdmissionRequest {
-  /** Unique among requests that wait or run. */
+  /** Unique among waiting and running requests. */
   readonly id: string;
   readonly workspace: string;
   readonly priority: AdmissionPriority;
   /** Share of capacity relative to other workspaces, above 0. */
   readonly weight: number;
-  /** When the whole answer is due, on the clock of `nowMs`. */
+  /** Time at which the complete answer is due, on the clock of `nowMs`. */
   readonly deadlineMs: number;
-  /** Longest wait for admission. */
+  /** Maximum wait for admission. */
   readonly maxWaitMs: number;
-  /** Requests of the workspace that may run here at once. */
+  /** Requests of the workspace that may run at once on this instance. */
   readonly maxConcurrent: number;
-  /** Requests of the workspace that may wait here. */
+  /** Requests of the workspace that may wait on this instance. */
   readonly maxQueued: number;
-  /** Time the request will hold a slot, when the caller can tell. */
+  /** Time for which the request will hold a slot, where it is known. */
   readonly expectedServiceMs?: number;
 }
 
-/** A request that waits. */
+/** A waiting request with its estimates. */
 export interface QueuedRequest {
   readonly request: AdmissionRequest;
-  /** Last moment at which admission can still meet the deadline. */
+  /** Latest admission that meets both the deadline and the maximum wait. */
   readonly admitByMs: number;
-  /** Slot time it is expected to take. */
+  /** Expected slot time. */
   readonly serviceMs: number;
   readonly offeredMs: number;
-  /** Wait that was expected when it was offered; 0 for none. */
+  /** Wait estimated when it was offered; 0 for none. */
   readonly estimatedWaitMs: number;
-  /** Grows with each offer; breaks ties. */
+  /** Increases with each offer; breaks ties. */
   readonly order: number;
   state: 'queued' | 'left';
 }
 
-/** Earliest deadline first: of one workspace, the tightest goes first. */
+/** Orders the requests of one workspace by the earliest deadline first. */
 export const compareByDeadline = (a: QueuedRequest, b: QueuedRequest): number =>
   a.admitByMs - b.admitByMs || a.order - b.order;
 
-/** Deviations of the waits' error kept free, and the bounds of the margin. */
+/** Deviations of the wait error added to its mean, and the largest margin. */
 const MARGIN_DEVIATIONS = 2;
 const MAX_MARGIN = 3;
 
@@ -64,17 +69,17 @@
 export class WorkspaceQueue {
   /** Slot time used so far, divided by the weight (slot-milliseconds). */
   virtualTime: number;
-  /** Weight of the last request taken in. */
+  /** Weight of the latest request. */
   weight = 1;
   inFlight = 0;
   queued = 0;
-  /** Slot time that the waiting requests are expected to take. */
+  /** Expected slot time of the waiting requests. */
   queuedServiceMs = 0;
-  /** Slots that the requests taken in lately keep busy. */
+  /** Recent demand, in slots. */
   readonly demand = new demandMeter.DemandMeter();
-  /** Time that this workspace's requests hold a slot. */
+  /** Time for which requests of this workspace hold a slot. */
   readonly serviceTime = new movingEstimate.MovingEstimate();
-  /** Measured over expected waits. */
+  /** Ratio of measured to estimated waits. */
   private readonly waitError = new movingEstimate.MovingEstimate();
   private readonly queues: Queues = {
     door_check: createHeap(),
@@ -98,7 +103,7 @@
     this.queuedServiceMs += entry.serviceMs;
   }
 
-  /** Notes how long a request waited, against what was expected. */
+  /** Records the wait of a request relative to its estimate. */
   recordWait(entry: QueuedRequest, nowMs: number): void {
     if (entry.estimatedWaitMs > 0) {
       this.waitError.add((nowMs - entry.offeredMs) / entry.estimatedWaitMs);
@@ -106,9 +111,10 @@
   }
 
   /**
-   * Factor on expected waits when they are held against a deadline. A request
-   * that waits and is given up on lost its time; one refused at once did not.
-   * So the expectation errs on the long side, by as much as it erred lately.
+   * Factor by which estimated waits are multiplied before they are compared
+   * with a deadline. A request that expires after waiting has lost that time,
+   * one that is refused at once has not, so estimates are made pessimistic by
+   * their recent error.
    */
   get waitMargin(): number {
     const {mean, deviation} = this.waitError;
@@ -116,7 +122,7 @@
     return Math.min(MAX_MARGIN, Math.max(1, margin));
   }
 
-  /** Takes a waiting request out; its place in the heap is swept later. */
+  /** Removes a waiting request; its heap entry is dropped by a later sweep. */
   remove(entry: QueuedRequest): void {
     entry.state = 'left';
     this.queued--;
@@ -125,9 +131,9 @@
   }
 
   /**
-   * The request to run next, or undefined; overdue ones are passed over.
+   * Returns the next request to run, if any. Skips expired requests.
    *
-   * @param open priorities that have a free slot, most urgent first.
+   * @param open priorities with a free slot, most urgent first.
    */
   head(
     nowMs: number,
@@ -142,7 +148,7 @@
     return undefined;
   }
 
-  /** Slot time of this workspace's requests that would run before `entry`. */
+  /** Expected slot time of own requests that would run before `entry`. */
   serviceAheadOf(entry: QueuedRequest): number {
     let ahead = 0;
     for (const priority of ADMISSION_PRIORITIES) {
@@ -167,12 +173,15 @@
       if (!top || (top.state === 'queued' && top.admitByMs >= nowMs)) {
         return top;
       }
-      // An overdue request is found by its expiry, not by its place here.
+      // An expired request is refused through the expiry queue, so its entry
+      // here isn't needed any more.
       queue.pop();
     }
   }
 
-  /** Keeps requests that left from piling up behind one that stays. */
+  /**
+   * Bounds the removed entries that remain behind a request that still waits.
+   */
   private sweep(queue: heap.Heap<QueuedRequest>): void {
     if (queue.length > 2 * this.queued + 16) {
       queue.init(queue.heapArray.filter(entry => entry.state === 'queued'));
--- a/packages/decisions/tests/admission-queue-load.test.ts
+++ b/packages/decisions/tests/admission-queue-load.test.ts
@@ -4,7 +4,7 @@
 
 const CAPACITY = 8;
 const SERVICE_MS = 200;
-/** Requests a second that the slots can do. */
+/** Requests a second that the slots can serve. */
 const RATE = (CAPACITY * 1000) / SERVICE_MS;
 
 const createQueue = (): decisions.AdmissionQueue =>
@@ -59,9 +59,9 @@
     {name: 'five times capacity', load: 5, least: 0.18},
   ];
   for (const {name, load, least} of loads) {
-    // A rush, and everyone's answer comes too late to be of use. Cause: work
-    // is begun in order of arrival, whether or not its caller still waits.
-    it(`answers what it can in time at ${name}`, () => {
+    // Under overload, service in order of arrival answers all requests too
+    // late, as it starts work whose caller no longer waits.
+    it(`answers enough requests in time at ${name}`, () => {
       const demands = createLoad(SMALL, load);
       const outcomes = loadFixture.runLoad(createQueue(), demands);
       chai.expect(loadFixture.checkHistory(outcomes, CAPACITY)).deep.equal([]);
@@ -69,9 +69,9 @@
     });
   }
 
-  // Two large firms draft all their rosters at noon, and a small one's officer
-  // waits behind them. Cause: the queue knew requests, not workspaces.
-  it('keeps small workspaces going when a large one rushes', () => {
+  // A queue that doesn't distinguish workspaces makes small ones wait behind
+  // the burst of a large one.
+  it('keeps waits of small workspaces short during a burst of a large one', () => {
     const small = createLoad(SMALL, 0.4);
     const large = createLoad(['large'], 4, {seed: 99});
     const outcomes = loadFixture.runLoad(createQueue(), [...small, ...large]);
@@ -81,9 +81,9 @@
     chai.expect(waits[Math.floor(waits.length * 0.95)]).below(2 * SERVICE_MS);
   });
 
-  // A host at the door waits half a minute for a guest list, as welcome packs
-  // fill all slots. Cause: long work took each slot that came free.
-  it('answers door checks while long work fills up the rest', () => {
+  // Long batch work could take each slot that becomes free, so that door checks
+  // wait for half a minute.
+  it('answers door checks quickly while long batch work fills the slots', () => {
     const long = createLoad(['packs'], 1, {
       priority: 'batch',
       serviceMs: 4000,
@@ -96,14 +96,14 @@
     const times = done
       .map(({demand, endedMs}) => endedMs! - demand.atMs)
       .sort((a, b) => a - b);
-    // Alone, a door check takes up to one and a half mean services.
+    // Alone, a door check takes up to one and a half mean service times.
     chai.expect(done.length).equal(checks.length);
     chai
       .expect(times[Math.floor(times.length * 0.99)])
       .below(2 * 1.5 * SERVICE_MS);
   });
 
-  it('refuses at once in a rush that lasts, with few given up on', () => {
+  it('refuses at once under lasting overload, with few refusals after a wait', () => {
     const outcomes = loadFixture.runLoad(createQueue(), createLoad(SMALL, 3));
     const refused = outcomes.filter(({answers}) => answers[0] === 'refused');
     const late = refused.filter(o => o.endedMs! > o.demand.atMs);
@@ -117,10 +117,10 @@
   readonly inject: (queue: decisions.AdmissionQueue) => loadFixture.TestedQueue;
 }
 
-/** Wraps the real queue with one fault. */
+/** Each wraps the real queue and injects one fault. */
 const INJECTED_FAULTS: readonly InjectedFault[] = [
   {
-    name: 'a request given up on that gets no answer',
+    name: 'an expired request that gets no answer',
     fault: /has 0 answers/,
     inject: queue => ({
       offer: (request, nowMs) => queue.offer(request, nowMs),
@@ -129,8 +129,8 @@
     }),
   },
   {
-    name: 'a refusal without when to come back',
-    fault: /without when to come back/,
+    name: 'a refusal without a retry delay',
+    fault: /without a retry delay/,
     inject: queue => ({
       offer: (request, nowMs) => {
         const outcome = queue.offer(request, nowMs);
@@ -143,7 +143,7 @@
     }),
   },
   {
-    name: 'a slot given twice',
+    name: 'more running requests than slots',
     fault: /more requests ran/,
     inject: queue => ({
       offer: (request, nowMs) => {
@@ -158,7 +158,7 @@
     }),
   },
   {
-    name: 'a deadline that is not looked at',
+    name: 'an ignored deadline',
     fault: /started after its deadline/,
     inject: queue => ({
       offer: (request, nowMs) =>
@@ -172,10 +172,10 @@
   },
 ];
 
-describe('the check of histories', () => {
+describe('checkHistory', () => {
   for (const {name, fault, inject} of INJECTED_FAULTS) {
-    it(`sees ${name}`, () => {
-      // Upstreams turn slow at 10 s, so that some who wait are given up on.
+    it(`detects ${name}`, () => {
+      // Upstreams become slow at 10 s, so that some waiting requests expire.
       const demands = createLoad(SMALL, 3, {
         priority: 'batch',
         deadlineMs: 1500,
--- a/packages/decisions/tests/admission-queue.test.ts
+++ b/packages/decisions/tests/admission-queue.test.ts
@@ -30,7 +30,10 @@
   }
 };
 
-/** Releases in order of admission, one each 100 ms; returns ids in order. */
+/**
+ * Releases the running requests in order of admission, one every 100 ms;
+ * returns the ids in that order.
+ */
 const drain = (
   queue: decisions.AdmissionQueue,
   first: string,
@@ -59,36 +62,41 @@
     readonly maxQueued?: number;
     readonly reason: decisions.AdmissionRefusalReason;
   }[] = [
-    {name: 'no slots', capacity: 0, request: {}, reason: 'no_capacity'},
     {
-      name: 'a deadline that the work itself exceeds',
+      name: 'a request when there are no slots',
+      capacity: 0,
+      request: {},
+      reason: 'no_capacity',
+    },
+    {
+      name: 'a request whose service time exceeds its deadline',
       request: {deadlineMs: 50},
       reason: 'deadline_unreachable',
     },
     {
-      name: 'a deadline that the queue exceeds',
+      name: 'a request whose wait would exceed its deadline',
       request: {deadlineMs: 500},
       reason: 'deadline_unreachable',
     },
     {
-      name: 'a wait over its bound',
+      name: 'a request that would wait longer than its maximum wait',
       request: {maxWaitMs: 200},
       reason: 'deadline_unreachable',
     },
     {
-      name: 'a full workspace queue',
+      name: 'a request when the queue of its workspace is full',
       request: {maxQueued: 10},
       reason: 'workspace_queue_full',
     },
     {
-      name: 'a full queue',
+      name: 'a request when the whole queue is full',
       maxQueued: 1,
       request: {},
       reason: 'queue_full',
     },
   ];
   for (const {name, request, capacity, maxQueued, reason} of refusals) {
-    it(`refuses ${name} and says when to come back`, () => {
+    it(`refuses ${name}, with a retry delay`, () => {
       const queue = createQueue(capacity, maxQueued);
       fill(queue, 11, {workspace: 'small'});
       const outcome = queue.offer(createRequest('late', request), 0);
@@ -97,9 +105,9 @@
     });
   }
 
-  // Hosts at the door of a small workspace wait minutes while a large one
-  // drafts rosters: it queued 50 requests first. Cause: one queue for all.
-  it('takes turns between a large workspace and a small one', () => {
+  // With one queue for all, a small workspace waits behind all requests that a
+  // large one queued before.
+  it('alternates between a large workspace and a small one', () => {
     const queue = createQueue(1);
     fill(queue, 50, {workspace: 'large'});
     fill(queue, 3, {workspace: 'small'});
@@ -117,18 +125,18 @@
     chai.expect(heavy).within(28, 32);
   });
 
-  // A controller's check waits behind the long answers of its own workspace,
-  // which came a moment earlier. Cause: order of arrival alone.
-  it('runs door checks before what else waits', () => {
+  // In order of arrival, a check would wait behind long work that arrived just
+  // before it.
+  it('runs door checks before other waiting requests', () => {
     const queue = createQueue(1);
     fill(queue, 20, {workspace: 'large', priority: 'batch'});
     queue.offer(createRequest('check', {priority: 'door_check'}), 0);
     chai.expect(drain(queue, 'large-0')[1]).equal('check');
   });
 
-  // One workspace marks all it sends as urgent; the others get nothing.
-  // Cause: strict priority, which lends without bound.
-  it('lets no workspace starve others by its priority', () => {
+  // With strict priority, a workspace that marks all its requests as urgent
+  // starves the others.
+  it('does not let a workspace starve others by its priority', () => {
     const queue = createQueue(1);
     fill(queue, 90, {workspace: 'urgent', priority: 'door_check'});
     fill(queue, 10, {workspace: 'plain', priority: 'batch'});
@@ -136,9 +144,9 @@
     chai.expect(order.filter(id => id.startsWith('plain'))).lengthOf(10);
   });
 
-  // A request waits for a slot that never comes, and its caller hears
-  // nothing until a timeout of its own. Cause: only a release looked at it.
-  it('gives up on overdue requests at once, with when to come back', () => {
+  // If only a release checked for expired requests, a request that waits for a
+  // slot that is never released would get no answer.
+  it('expires requests without a release, with a retry delay', () => {
     const queue = createQueue(1);
     fill(queue, 1, {workspace: 'large'});
     queue.offer(createRequest('waits', {maxWaitMs: 2000}), 0);
@@ -151,7 +159,7 @@
     chai.expect(queue.release('large-0', 2050)).deep.equal([]);
   });
 
-  it('never admits a request past its last moment', () => {
+  it('never admits an expired request', () => {
     const queue = createQueue(1);
     fill(queue, 1, {workspace: 'large'});
     queue.offer(createRequest('waits', {maxWaitMs: 2000}), 0);
@@ -159,7 +167,7 @@
     chai.expect(queue.expire(2100)).lengthOf(1);
   });
 
-  it('forgets cancelled requests, waiting or running', () => {
+  it('removes cancelled requests, waiting or running', () => {
     const queue = createQueue(1);
     fill(queue, 3, {workspace: 'small'});
     queue.cancel('small-1', 10);
@@ -168,7 +176,7 @@
     chai.expect([queue.inFlight, queue.queued]).deep.equal([1, 0]);
   });
 
-  it('follows its capacity up and down', () => {
+  it('applies increases and decreases of its capacity', () => {
     const queue = createQueue(1);
     fill(queue, 4, {workspace: 'small'});
     chai.expect(queue.setCapacity(3, 10)).lengthOf(2);
@@ -178,15 +186,14 @@
     chai.expect(queue.release('small-2', 50)).lengthOf(1);
   });
 
-  it('keeps a workspace within its slots', () => {
+  it('keeps a workspace within its concurrency limit', () => {
     const queue = createQueue(4);
     fill(queue, 4, {workspace: 'small', maxConcurrent: 2});
     chai.expect([queue.inFlight, queue.queued]).deep.equal([2, 2]);
   });
 
-  // In a long rush everyone waits two seconds, and no more is answered than
-  // with a short queue. Cause: a queue that is always full only adds wait.
-  it('keeps a queue that never empties short', () => {
+  // A standing queue adds wait without adding throughput.
+  it('refuses requests as overloaded in a standing queue', () => {
     const queue = createQueue(1);
     fill(queue, 4, {workspace: 'large', priority: 'batch'});
     const request = createRequest('next', {workspace: 'large'});
@@ -197,10 +204,9 @@
       .include({kind: 'refused', reason: 'overloaded'});
   });
 
-  // In a rush, long batch work queues without end, and every interactive
-  // request is refused though it would run first. Cause: a queue of batch
-  // work counted as one that interactive requests stand in.
-  it('does not refuse urgent work for a queue of less urgent work', () => {
+  // If a standing queue of batch work counted for interactive requests, they
+  // would be refused although they run first.
+  it('does not refuse urgent work because of a queue of less urgent work', () => {
     const queue = createQueue(1);
     const batch = {workspace: 'large', priority: 'batch'} as const;
     fill(queue, 4, {...batch, expectedServiceMs: 10_000});
@@ -208,9 +214,9 @@
     chai.expect(queue.offer(request, 3000).kind).equal('queued');
   });
 
-  // Short requests of nine workspaces wait behind long ones, one of which
-  // each workspace has. Cause: a lead shorter than what it has to overtake.
-  it('runs interactive work before long batch work of others', () => {
+  // A priority lead shorter than the work to overtake would leave short
+  // requests behind the long ones of other workspaces.
+  it('runs interactive work before long batch work of other workspaces', () => {
     const queue = createQueue(1);
     fill(queue, 1, {workspace: 'first', expectedServiceMs: 100});
     for (let i = 0; i < 5; i++) {
@@ -232,9 +238,9 @@
     chai.expect(long.length).at.most(2);
   });
 
-  // An upstream hangs: requests go on queueing for slots that do not come
-  // back, and all time out. Cause: a service rate measured before the hang.
-  it('estimates longer waits when releases stay out', () => {
+  // When an upstream hangs, the service rate measured before would keep
+  // requests queueing for slots that are not released, until all time out.
+  it('estimates longer waits when no requests are released', () => {
     const queue = createQueue(1);
     fill(queue, 2, {workspace: 'small'});
     const request = createRequest('next');
--- a/packages/decisions/tests/cascade-policy.test.ts
+++ b/packages/decisions/tests/cascade-policy.test.ts
@@ -18,7 +18,10 @@
   readonly cost: number;
 }
 
-/** Serves requests whose small model passes with the given chance. */
+/**
+ * Serves requests for which the small model's answer is good with probability
+ * `smallPass`, and rates a tenth of the answers.
+ */
 const serve = (
   policy: decisions.CascadePolicy,
   count: number,
@@ -52,14 +55,22 @@
   return {good: good / count, cost: cost / count};
 };
 
-describe('cascade policy', () => {
+describe('CascadePolicy', () => {
   const cases = [
-    {name: 'a small model that always passes', smallPass: 0.99, mostCost: 5},
-    {name: 'a small model that often passes', smallPass: 0.7, mostCost: 12},
-    {name: 'a small model that never passes', smallPass: 0.02, mostCost: 22},
+    {
+      name: 'a small model that is nearly always good',
+      smallPass: 0.99,
+      mostCost: 5,
+    },
+    {name: 'a small model that is often good', smallPass: 0.7, mostCost: 12},
+    {
+      name: 'a small model that is hardly ever good',
+      smallPass: 0.02,
+      mostCost: 22,
+    },
   ];
   for (const {name, smallPass, mostCost} of cases) {
-    it(`meets the target at little cost with ${name}`, () => {
+    it(`meets the target at low cost with ${name}`, () => {
       const random = createRandom(1);
       const policy = new decisions.CascadePolicy();
       serve(policy, 10_000, smallPass, random);
@@ -69,10 +80,9 @@
     });
   }
 
-  // A caller gets bad answers at the old price: the small model has turned
-  // bad, its ratings come for a tenth of the answers. The policy has to leave
-  // it within some thousand requests.
-  it('follows a small model that turns bad', () => {
+  // Only a tenth of the answers are rated, yet the policy has to stop using a
+  // model that turned bad within a few thousand requests.
+  it('meets the target again after the small model turns bad', () => {
     const random = createRandom(2);
     const policy = new decisions.CascadePolicy();
     serve(policy, 20_000, 0.95, random);
@@ -81,16 +91,16 @@
     chai.expect(good).to.be.at.least(0.89);
   });
 
-  // Planted fault: a rating service that calls every answer good. The check
-  // above has to see the quality fall, or it proves nothing.
-  it('is seen to fall short when ratings say good to everything', () => {
+  // Injected fault: a rating service that rates every answer good. Shows that
+  // the quality check of the tests above can fail.
+  it('misses the target when every answer is rated good', () => {
     const random = createRandom(2);
     const policy = new decisions.CascadePolicy();
     const {good} = serve(policy, 30_000, 0.3, random, () => 1);
     chai.expect(good).to.be.below(0.89);
   });
 
-  it('resumes from the JSON of a snapshot', () => {
+  it('restores a snapshot from its JSON', () => {
     const policy = new decisions.CascadePolicy();
     serve(policy, 5_000, 0.95, createRandom(3));
     const json = JSON.stringify(policy.snapshot());
@@ -99,7 +109,7 @@
     chai.expect(other.snapshot()).to.deep.equal(JSON.parse(json));
   });
 
-  it('bounds what callers can make it remember', () => {
+  it('bounds the number of tasks tracked in a workspace', () => {
     const policy = new decisions.CascadePolicy();
     for (let i = 0; i < 1_000; i++) {
       const task = `task-${i}`;
@@ -125,7 +135,7 @@
     {stage: 2, score: 0, expected: 'accept'},
   ];
   for (const {stage, score, expected} of cases) {
-    it(`${expected}s score ${score ?? 'none'} at stage ${stage}`, () => {
+    it(`returns ${expected} for score ${score ?? 'none'} at stage ${stage}`, () => {
       const step = decisions.nextStep(plan, stage, score);
       chai.expect(step.kind).to.equal(expected);
     });
--- a/packages/decisions/tests/load-fixture.ts
+++ b/packages/decisions/tests/load-fixture.ts
@@ -1,22 +1,25 @@
-/** Callers before an admission queue in virtual time, with their history. */
+/**
+ * Simulates callers of an admission queue in virtual time and checks the
+ * recorded history of their requests.
+ */
 import type * as decisions from '@amaranthknot/decisions';
 import * as uniform from 'pure-rand/distribution/uniformFloat64';
 import * as generator from 'pure-rand/generator/xoroshiro128plus';
 
-/** The part of an admission queue that callers meet. */
+/** Methods of an admission queue that the simulation calls. */
 export type TestedQueue = Pick<
   decisions.AdmissionQueue,
   'offer' | 'release' | 'expire'
 >;
 
-/** A request with the time that it takes. */
+/** A request with its arrival and service time. */
 export interface Demand {
   readonly atMs: number;
   readonly serviceMs: number;
   readonly request: decisions.AdmissionRequest;
 }
 
-/** What became of a request, as its caller sees it. */
+/** Outcome of a request, as its caller sees it. */
 export interface Outcome {
   readonly demand: Demand;
   readonly answers: readonly ('answered' | 'refused')[];
@@ -30,13 +33,13 @@
   readonly endMs: number;
 }
 
-/** Seeded uniform random numbers. */
+/** Creates a seeded generator of uniform random numbers in [0, 1). */
 export const createRandom = (seed: number): (() => number) => {
   const source = generator.xoroshiro128plus(seed);
   return () => uniform.uniformFloat64(source);
 };
 
-/** Describes demand of one kind of request. */
+/** Demand of one workspace for one kind of request. */
 export interface DemandOptions {
   readonly workspace: string;
   readonly ratePerSecond: number;
@@ -47,7 +50,7 @@
   readonly seed?: number;
 }
 
-/** Draws a Poisson process of requests. */
+/** Draws requests that arrive as a Poisson process. */
 export const createDemand = (options: DemandOptions): readonly Demand[] => {
   const {workspace, ratePerSecond, untilMs, serviceMs} = options;
   const random = createRandom(options.seed ?? workspace.length);
@@ -73,7 +76,10 @@
   }
 };
 
-/** Runs demands in order of time; everything that ends is released. */
+/**
+ * Offers the demands in order of time and releases each request that ends;
+ * returns the outcomes.
+ */
 export const runLoad = (
   queue: TestedQueue,
   demands: readonly Demand[],
@@ -128,7 +134,7 @@
   return [...outcomes.values()];
 };
 
-/** Faults that a history shows, in words; none when it is sound. */
+/** Lists the faults found in a history; empty when there are none. */
 export const checkHistory = (
   outcomes: readonly Outcome[],
   capacity: number,
@@ -143,7 +149,7 @@
       faults.push(`${id} was refused after it ran`);
     }
     if (answers[0] === 'refused' && !(retryAfterMs! > 0)) {
-      faults.push(`${id} was refused without when to come back`);
+      faults.push(`${id} was refused without a retry delay`);
     }
     if ((startedMs ?? 0) > deadlineMs) {
       faults.push(`${id} started after its deadline`);
--- a/packages/decisions/tests/model-choice.test.ts
+++ b/packages/decisions/tests/model-choice.test.ts
@@ -12,12 +12,12 @@
   capablePrice: 0.26,
 });
 
-/** Kinds of requests of the two users. */
+/** Typical requests: drafts, summaries and checks. */
 const DRAFT = createProfile(12_000, 1_122, 384);
 const SUMMARY = createProfile(826, 954, 294);
 const CHECK = createProfile(2_368, 90, 24);
 
-describe('choice between a cheap and a capable model', () => {
+describe('shouldEscalate', () => {
   const cases: readonly {
     readonly name: string;
     readonly profile: decisions.RequestProfile;
@@ -26,35 +26,35 @@
     readonly escalates: boolean;
   }[] = [
     {
-      name: 'a sure answer stays',
+      name: 'accepts a summary with high confidence',
       profile: SUMMARY,
       confidence: 90,
       scarcity: 1,
       escalates: false,
     },
     {
-      name: 'an unsure one does not',
+      name: 'escalates a summary with medium confidence',
       profile: SUMMARY,
       confidence: 55,
       scarcity: 1,
       escalates: true,
     },
     {
-      name: 'a check is not worth the price at the same doubt',
+      name: 'accepts a check with medium confidence, as it is not worth the price',
       profile: CHECK,
       confidence: 55,
       scarcity: 1,
       escalates: false,
     },
     {
-      name: 'a weak check is',
+      name: 'escalates a check with low confidence',
       profile: CHECK,
       confidence: 30,
       scarcity: 1,
       escalates: true,
     },
     {
-      name: 'a draft in doubt stays where capable engines are full',
+      name: 'accepts a draft with medium confidence when capable engines are full',
       profile: DRAFT,
       confidence: 54,
       scarcity: 4,
@@ -69,7 +69,7 @@
     });
   });
 
-  it('doubts less the surer the model is', () => {
+  it('estimates weak answers to be less likely at higher confidence', () => {
     const chances = [0, 30, 50, 70, 100].map(decisions.weakAnswerProbability);
     chai.expect(chances).eql([...chances].sort((a, b) => b - a));
     chai.expect(decisions.weakAnswerProbability(50)).closeTo(0.5, 1e-9);
--- a/packages/decisions/tests/rate-limits.test.ts
+++ b/packages/decisions/tests/rate-limits.test.ts
@@ -4,29 +4,29 @@
 interface Setup {
   readonly limits: decisions.RateLimits;
   readonly wait: (ms: number) => void;
-  /** Limits as they were told to be new. */
-  readonly told: (number | undefined)[];
+  /** Arguments of the `onChange` calls so far. */
+  readonly changes: (number | undefined)[];
 }
 
 const setUp = (instances: readonly string[] = ['a']): Setup => {
   let nowMs = 0;
-  const told: (number | undefined)[] = [];
+  const changes: (number | undefined)[] = [];
   const limits = new decisions.RateLimits({
     now: () => nowMs,
     self: 'a',
     findInstances: () => instances,
-    onChange: (_id, perSecond) => told.push(perSecond),
+    onChange: (_id, perSecond) => changes.push(perSecond),
   });
   return {
     limits,
-    told,
+    changes,
     wait: ms => {
       nowMs += ms;
     },
   };
 };
 
-/** Requests that may be sent at once. */
+/** Sends requests while it may, up to 1,000; returns how many. */
 const countFree = ({limits}: Setup, id: string): number => {
   let count = 0;
   while (limits.maySend(id) && count < 1_000) {
@@ -36,23 +36,23 @@
   return count;
 };
 
-describe('limits that upstreams name', () => {
-  it('are told when they are named, change by much, and are lifted', () => {
-    const {limits, told} = setUp();
+describe('RateLimits', () => {
+  it('calls onChange when a limit is set, changes significantly or is lifted', () => {
+    const {limits, changes} = setUp();
     [undefined, 2, 2.1, 4, undefined, undefined].forEach(perSecond => {
       limits.record('u', perSecond);
     });
-    chai.expect(told).eql([2, 4, undefined]);
+    chai.expect(changes).eql([2, 4, undefined]);
     chai.expect(limits.find('u')).equal(undefined);
   });
 
-  it('do not bind upstreams that name none', () => {
+  it('does not limit upstreams that announced no limit', () => {
     const setup = setUp();
     setup.limits.record('u', 1);
     chai.expect(countFree(setup, 'other')).equal(1_000);
   });
 
-  it('are shared out among all instances', () => {
+  it('divides a limit among all instances', () => {
     const setup = setUp(['a', 'b', 'c', 'd']);
     setup.limits.record('u', 10);
     chai.expect(countFree(setup, 'u')).equal(10);
@@ -60,8 +60,8 @@
     chai.expect(countFree(setup, 'u')).equal(10);
   });
 
-  it('let one request pass now and then however low they are', () => {
-    // Only an answer says that a limit is lifted.
+  it('allows a request every 10 s however low the limit is', () => {
+    // Only an answer can say that a limit is lifted.
     const setup = setUp();
     setup.limits.record('u', 0);
     chai.expect(countFree(setup, 'u')).equal(1);
@@ -71,7 +71,7 @@
     chai.expect(countFree(setup, 'u')).equal(1);
   });
 
-  it('count what was sent before they were named', () => {
+  it('counts requests sent before the limit was announced', () => {
     const setup = setUp();
     Array.from({length: 3}, () => {
       setup.limits.recordSend('u');
@@ -80,7 +80,7 @@
     chai.expect(countFree(setup, 'u')).equal(1);
   });
 
-  it('are known from another instance, with the age of its word', () => {
+  it('merges a limit reported by another instance, with its age', () => {
     const {limits, wait} = setUp();
     wait(5_000);
     limits.merge([{id: 'u', perSecond: 3, ageMs: 400}]);
@@ -88,7 +88,7 @@
     chai.expect(limits.report()).eql([{id: 'u', perSecond: 3, ageMs: 500}]);
   });
 
-  it('stay lifted before word that is older', () => {
+  it('ignores reports that are older than the lifting of a limit', () => {
     const {limits, wait} = setUp();
     limits.record('u', 3);
     wait(5_000);
@@ -98,20 +98,20 @@
     chai.expect(limits.find('u')).equal(undefined);
   });
 
-  it('are told while they are news, and now and then afterwards', () => {
+  it('reports a limit while it is new, and periodically afterwards', () => {
     const {limits, wait} = setUp();
-    const isTold = () => limits.report().length === 1;
+    const isReported = () => limits.report().length === 1;
     wait(5_000);
     limits.record('u', 3);
-    chai.expect(isTold()).equal(true);
+    chai.expect(isReported()).equal(true);
     wait(4_000);
     limits.record('u', 3.1);
-    chai.expect(isTold()).equal(false);
+    chai.expect(isReported()).equal(false);
     wait(11_500);
-    chai.expect(isTold()).equal(true);
+    chai.expect(isReported()).equal(true);
   });
 
-  it('are forgotten when nobody has heard of them for long', () => {
+  it('expires limits that were not announced for 60 s', () => {
     const {limits, wait} = setUp();
     limits.record('u', 3);
     wait(30_000);
@@ -120,7 +120,7 @@
     chai.expect(limits.find('u')).equal(undefined);
   });
 
-  it('are forgotten with their upstream', () => {
+  it('drops the limits of removed upstreams', () => {
     const {limits} = setUp();
     limits.record('u', 3);
     limits.retain(new Set());
--- a/packages/decisions/tests/repeat-budget.test.ts
+++ b/packages/decisions/tests/repeat-budget.test.ts
@@ -30,11 +30,10 @@
   };
 };
 
-describe('repeats of one instance', () => {
-  it('are there for doubtful answers that come together', () => {
-    // An instance of 88 sees four requests a second; of some seconds' answers
-    // all are doubtful, of others none. With tokens capped at its 2.3 of the
-    // slack, 68 of 136 wanted repeats were refused; callers got weak answers.
+describe('RepeatBudget', () => {
+  it('grants repeats for doubtful answers that come in clusters', () => {
+    // One of 88 instances, with four requests a second. A token bucket capped
+    // at its share of the slack, 2.3, refused 68 of 136 repeats here.
     const {budget, wait} = setUp(2.33);
     const random = fakes.createRandom(4);
     let wanted = 0;
@@ -55,8 +54,8 @@
     chai.expect(refused).equal(0);
   });
 
-  it('stay within the bound in every window, whatever is wanted', () => {
-    // Upstreams fail one after the other and every request wants repeats.
+  it('stays within the limit in every window, whatever the demand', () => {
+    // Upstreams fail one after the other, and every request needs repeats.
     const slack = 8;
     const {budget, wait, now} = setUp(slack);
     const random = fakes.createRandom(7);
@@ -82,7 +81,7 @@
     chai.expect(repeats.length).above(requests.length / 2);
   });
 
-  it('leave a reserve where one is asked for', () => {
+  it('keeps the reserve that is asked for', () => {
     const {budget} = setUp(4);
     chai.expect(budget.hasRepeat(SERVICE, 0.25)).equal(true);
     budget.take(SERVICE);
@@ -93,7 +92,7 @@
     chai.expect(budget.hasRepeat(SERVICE)).equal(true);
   });
 
-  it('are counted apart for each service', () => {
+  it('counts each service separately', () => {
     const {budget} = setUp(1);
     chai.expect(budget.take('a')).equal(true);
     chai.expect(budget.take('a')).equal(false);
--- a/packages/decisions/tests/retry-budget.test.ts
+++ b/packages/decisions/tests/retry-budget.test.ts
@@ -28,9 +28,8 @@
     });
   }
 
-  // Callers see a failing model stay down after its cause is gone: each
-  // failed attempt was tried again, so that the upstream got twice the load
-  // that felled it. Cause: retries without a bound.
+  // Unbounded retries double the load on a failing upstream, so that it stays
+  // down after the cause of the failure is gone.
   it('adds at most a tenth when every attempt fails', () => {
     const budget = new decisions.RetryBudget();
     let retries = 0;
@@ -41,7 +40,7 @@
     chai.expect(retries).within(890, 1000);
   });
 
-  it('keeps the budgets of targets apart', () => {
+  it('keeps a separate budget for each target', () => {
     const budget = new decisions.RetryBudget();
     for (let i = 0; i < 100; i++) {
       budget.recordAttempt('healthy');
--- a/packages/decisions/tests/rollout-evaluation.test.ts
+++ b/packages/decisions/tests/rollout-evaluation.test.ts
@@ -34,7 +34,7 @@
   evidence: decisions.EvidenceByInstance,
 ) => decisions.evaluateRollout(state, createInput(evidence));
 
-describe('roll-out guard', () => {
+describe('evaluateRollout', () => {
   const cases = [
     {name: 'advances an equally good version', bad: 100, kind: 'advance'},
     {name: 'advances a better version', bad: 20, kind: 'advance'},
@@ -48,7 +48,7 @@
     });
   }
 
-  it('stops for errors that no rating shows', () => {
+  it('stops for errors that the ratings do not show', () => {
     const evidence = createEvidence(100);
     const failing = {...evidence, new: {...evidence.new, errors: 40}};
     const start = decisions.createRolloutState();
@@ -63,9 +63,8 @@
     chai.expect(decision.kind).to.equal('stop');
   });
 
-  // Callers of seven instances get bad answers, too few on each for anybody
-  // to notice. Only their sum shows it.
-  it('sees what no instance sees alone', () => {
+  // Each of seven instances has too few bad answers to stop the version.
+  it('stops by the sum of evidence that is too weak on each instance', () => {
     const part = {old: createCounts(100, 5), new: createCounts(20, 6)};
     const ids = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
     const all = Object.fromEntries(ids.map(id => [id, part]));
@@ -74,10 +73,10 @@
     chai.expect(evaluate(start, all).decision.kind).to.equal('stop');
   });
 
-  // The driver is lost after its look; the next resumes from the stored JSON
-  // and sees the same counters again, one of them from before. Counting any
-  // twice would stop a version for bad answers that were never given.
-  it('judges no evidence twice when another driver resumes', () => {
+  // Another instance resumes from the stored JSON and gets the same counters
+  // again, and older ones. Counting them twice would stop a version for bad
+  // answers that were never given.
+  it('counts no evidence twice when another instance resumes', () => {
     const early = {a: {old: createCounts(500, 20), new: createCounts(50, 5)}};
     const late = {a: {old: createCounts(900, 40), new: createCounts(90, 8)}};
     const first = evaluate(decisions.createRolloutState(), late).state;
@@ -87,7 +86,7 @@
     chai.expect(again.rated).to.equal(first.rated);
   });
 
-  it('hands out little at a high rate before ratings come', () => {
+  it('bounds unrated answers at a high request rate before ratings come', () => {
     const {decision} = decisions.evaluateRollout(
       decisions.createRolloutState(),
       {
@@ -103,14 +102,14 @@
 describe('assignVersion', () => {
   const sessions = Array.from({length: 2_000}, (_, i) => `session-${i}`);
 
-  it('gives about the share asked for', () => {
+  it('assigns about the given share of sessions to the new version', () => {
     const assigned = sessions.filter(
       key => decisions.assignVersion('r', key, 0.25) === 'new',
     );
     chai.expect(assigned.length).to.be.within(430, 570);
   });
 
-  it('keeps the new version of a session as the share grows', () => {
+  it('keeps sessions on the new version as the share grows', () => {
     const moved = sessions.filter(
       key =>
         decisions.assignVersion('r', key, 0.1) === 'new' &&
@@ -124,7 +123,7 @@
     {share: 1, version: 'new'},
   ];
   for (const {share, version} of cases) {
-    it(`gives everybody the ${version} version at ${share}`, () => {
+    it(`assigns all sessions to the ${version} version at a share of ${share}`, () => {
       const versions = sessions.map(key =>
         decisions.assignVersion('r', key, share),
       );
@@ -135,7 +134,7 @@
 
 describe('allocateRatings', () => {
   for (const share of [0, 0.005, 0.02, 0.1, 0.5, 1]) {
-    it(`keeps to the budget at a share of ${share}`, () => {
+    it(`stays within the budget at a share of ${share}`, () => {
       const ratings = decisions.allocateRatings(share, 0.1);
       const spent = ratings.new * share + ratings.old * (1 - share);
       chai.expect(spent).to.be.at.most(0.1 + 1e-9);
--- a/packages/decisions/tests/rollout-schedule.test.ts
+++ b/packages/decisions/tests/rollout-schedule.test.ts
@@ -4,7 +4,7 @@
 const TIMING = {ageMs: 0, durationMs: 24_000, sessionMs: 5_000};
 const LIMIT = {share: 0.15, slack: 30};
 
-/** Time between two looks at an order, in milliseconds. */
+/** Time between two evaluations of a rollout, in milliseconds. */
 const STEP_MS = 100;
 
 const countsOf = (
@@ -49,7 +49,7 @@
       verdict: 'unclear',
     },
     {
-      name: 'too few answers of a version whose service is in use',
+      name: 'too few answers of a version while the service is in use',
       old: countsOf(200, 2),
       fresh: countsOf(4, 0),
       verdict: 'unproved',
@@ -61,7 +61,7 @@
       verdict: 'good',
     },
     {
-      name: 'failures that hit both versions alike',
+      name: 'failures at the same rate on both versions',
       old: countsOf(200, 60),
       fresh: countsOf(20, 6),
       verdict: 'good',
@@ -79,7 +79,7 @@
       verdict: 'bad',
     },
     {
-      name: 'only failures and nothing to compare with',
+      name: 'only failures, with no answers of the old version',
       old: countsOf(0, 0),
       fresh: countsOf(10, 10),
       verdict: 'bad',
@@ -93,7 +93,7 @@
     });
   });
 
-  it('pools what all instances counted', () => {
+  it('pools the evidence of all instances', () => {
     const one = {old: countsOf(50, 0), new: countsOf(4, 1)};
     const few = new Map([['route-1', {a: one}]]);
     const many = new Map([
@@ -103,29 +103,27 @@
     chai.expect(decisions.judgeVersion(many)).equal('bad');
   });
 
-  it('does not complete a version of which more fails than of the old one', () => {
-    // Three in ten answers of a new version fail. One in ten of the old one's
-    // does too, since connections are reset and upstreams leave. At the
-    // deadline the evidence did not suffice to stop it; it was completed, and
-    // callers got its failures with nothing to go back to.
+  it('does not complete a version that fails more often than the old one', () => {
+    // 30% of the new version's answers fail, and 10% of the old one's, because
+    // of reset connections and removed upstreams. At the deadline the evidence
+    // is not enough to stop the version.
     const evidence = evidenceOf(countsOf(440, 43), countsOf(24, 7));
     const verdict = decisions.judgeVersion(evidence);
     const atEnd = {...TIMING, ageMs: 23_300};
     chai.expect(decisions.findRolloutEnd(atEnd, verdict)).equal('rolled_back');
   });
 
-  it('does not complete a version that an outage kept from being tried', () => {
-    // Three in ten answers of a new version fail, and by luck two of the 21
-    // that were seen. In the lead, in which it is to get all traffic, keys
-    // can't be confirmed and no request comes. It was completed, and from then
-    // on three in ten callers got its failures.
+  it('does not complete a version that an outage kept from full traffic', () => {
+    // 30% of the new version's answers fail, but by chance only 2 of the 21
+    // counted. During full traffic API keys can't be verified, so that no
+    // further requests come.
     const evidence = evidenceOf(countsOf(117, 3), countsOf(21, 2));
     const verdict = decisions.judgeVersion(evidence);
     const atEnd = {...TIMING, ageMs: 23_300};
     chai.expect(decisions.findRolloutEnd(atEnd, verdict)).equal('rolled_back');
   });
 
-  it('tries a version in its lead that has failed a little more', () => {
+  it('gives full traffic to a version that has failed slightly more often', () => {
     const evidence = evidenceOf(countsOf(117, 3), countsOf(21, 2));
     const verdict = decisions.judgeVersion(evidence);
     const share = decisions.findRolloutShare(conditionsAt(21_100, verdict));
@@ -133,9 +131,8 @@
   });
 
   it('keeps a good version whose upstreams fill their caches under load', () => {
-    // On a day of high load answers of both versions are slow at times, those
-    // of the new upstreams twice as often. The version was rolled back, and
-    // operators missed their date.
+    // Under high load some answers of both versions are slow, those of the new
+    // upstreams twice as often. This must not roll the version back.
     const old = {
       ...decisions.NO_COUNTS,
       requests: 1_221,
@@ -162,19 +159,17 @@
   slowStarts.forEach(({old, fresh}) => {
     const {slow, requests} = fresh;
     it(`keeps a good version with ${slow} slow answers of ${requests}`, () => {
-      // The one upstream that a new version is tried on has nothing in its
-      // cache and more to read than each old one. A few first tokens come
-      // late, the odds just reach twenty to one, and operators miss their date
-      // for a version that is as good as the old one.
+      // The only upstream of the new version in use has an empty cache and
+      // more prefill work than each old one. Some first tokens are late, and
+      // the odds reach 20 to 1 although the version is as good as the old one.
       const verdict = decisions.judgeVersion(evidenceOf(old, fresh));
       chai.expect(verdict).equal('good');
     });
   });
 
   it('stops a version that fails on one route only', () => {
-    // A third of the answers on the smallest route fails. Among the answers of
-    // all routes that is one in twenty, as if by chance, and the order was
-    // reported as done with the version bad.
+    // Half of the answers on the smallest route fail. Among the answers of all
+    // routes the failures are rare enough to look like chance.
     const good = {a: {old: countsOf(300, 6), new: countsOf(40, 1)}};
     const bad = {a: {old: countsOf(60, 1), new: countsOf(8, 4)}};
     const byRoute = new Map([
@@ -190,23 +185,46 @@
     readonly verdict: decisions.VersionVerdict;
     readonly share: number;
   }[] = [
-    {name: 'while sessions end', ageMs: 5_000, verdict: 'good', share: 0},
-    {name: 'after that', ageMs: 6_000, verdict: 'unclear', share: 0.09},
-    {name: 'until the lead', ageMs: 20_900, verdict: 'good', share: 0.09},
-    {name: 'in the lead', ageMs: 21_100, verdict: 'unclear', share: 1},
-    {name: 'while in doubt', ageMs: 21_100, verdict: 'doubtful', share: 0.09},
+    {
+      name: 'while earlier sessions end',
+      ageMs: 5_000,
+      verdict: 'good',
+      share: 0,
+    },
+    {
+      name: 'after earlier sessions ended',
+      ageMs: 6_000,
+      verdict: 'unclear',
+      share: 0.09,
+    },
+    {
+      name: 'just before full traffic',
+      ageMs: 20_900,
+      verdict: 'good',
+      share: 0.09,
+    },
+    {
+      name: 'in the phase of full traffic',
+      ageMs: 21_100,
+      verdict: 'unclear',
+      share: 1,
+    },
+    {name: 'while doubtful', ageMs: 21_100, verdict: 'doubtful', share: 0.09},
     {name: 'once judged bad', ageMs: 21_100, verdict: 'bad', share: 0},
   ];
 
   shares.forEach(({name, ageMs, verdict, share}) => {
-    it(`gives the new version ${share} ${name}`, () => {
+    it(`gives the new version a share of ${share} ${name}`, () => {
       const found = decisions.findRolloutShare(conditionsAt(ageMs, verdict));
       chai.expect(found).closeTo(share, 1e-9);
     });
   });
 
-  /** Requests that both versions get while an order runs its course. */
-  const playOrder = (
+  /**
+   * Simulates a rollout of a version judged good; returns the requests that
+   * each version gets. Evidence is known `lagMs` late.
+   */
+  const simulateRollout = (
     rateAt: (ageMs: number) => number,
     lagMs: number,
   ): {readonly old: number; readonly fresh: number} => {
@@ -241,7 +259,7 @@
   }[] = [
     {name: 'a steady load', rateAt: () => 44, lagMs: 0},
     {
-      name: 'a load that is half as high again at the end',
+      name: 'a load that rises by half at the end',
       rateAt: ageMs => (ageMs < 20_000 ? 60 : 90),
       lagMs: 1_000,
     },
@@ -249,14 +267,14 @@
 
   loads.forEach(({name, rateAt, lagMs}) => {
     it(`keeps a version that is bad at full load within its exposure, at ${name}`, () => {
-      // Operators bear 15 in 100 requests and 30 more of a bad version. It
-      // looks good at a small share, gets all traffic, and only then its
-      // answers turn bad: by the deadline it must not have had more, also
-      // where requests come faster then and answers are counted late.
-      const {old, fresh} = playOrder(rateAt, lagMs);
-      const borne = LIMIT.share * (old + fresh) + LIMIT.slack;
-      chai.expect(fresh).below(0.95 * borne);
-      chai.expect(fresh).above(borne / 2);
+      // A bad version may get 15% of the requests and 30 more. It looks good at
+      // a small share and turns bad only with full traffic. By the deadline it
+      // must have got no more, even if the request rate rises and answers are
+      // counted late.
+      const {old, fresh} = simulateRollout(rateAt, lagMs);
+      const allowed = LIMIT.share * (old + fresh) + LIMIT.slack;
+      chai.expect(fresh).below(0.95 * allowed);
+      chai.expect(fresh).above(allowed / 2);
     });
   });
 
@@ -275,7 +293,7 @@
   ];
 
   ends.forEach(({ageMs, verdict, end}) => {
-    it(`ends ${end ?? 'not'} at ${ageMs} ms when ${verdict}`, () => {
+    it(`is ${end ?? 'in progress'} at ${ageMs} ms when ${verdict}`, () => {
       const found = decisions.findRolloutEnd({...TIMING, ageMs}, verdict);
       chai.expect(found).equal(end);
     });
--- a/packages/decisions/tests/watch-roles.test.ts
+++ b/packages/decisions/tests/watch-roles.test.ts
@@ -12,28 +12,32 @@
     })),
   );
 
-describe('who watches the store', () => {
+describe('watch roles', () => {
   const fleets: readonly {
     readonly name: string;
     readonly counts: Readonly<Record<string, number>>;
     readonly watchers: number;
   }[] = [
     {name: 'one instance', counts: {a: 1}, watchers: 1},
-    {name: 'seven in three zones', counts: {a: 3, b: 2, c: 2}, watchers: 2},
     {
-      name: '88 in four zones',
+      name: '7 instances in three zones',
+      counts: {a: 3, b: 2, c: 2},
+      watchers: 2,
+    },
+    {
+      name: '88 instances in four zones',
       counts: {a: 22, b: 22, c: 22, d: 22},
       watchers: 4,
     },
     {
-      name: '300 in three zones',
+      name: '300 instances in three zones',
       counts: {a: 100, b: 100, c: 100},
       watchers: 13,
     },
   ];
 
   fleets.forEach(({name, counts, watchers}) => {
-    it(`is ${watchers} of ${name}`, () => {
+    it(`chooses ${watchers} watchers of ${name}`, () => {
       const members = createMembers(counts);
       const found = decisions.findWatchers(members);
       chai.expect(found).length(watchers);
@@ -41,17 +45,17 @@
     });
   });
 
-  it('are spread over all zones', () => {
-    // A zone loses its power. Were all watchers in it, every instance would
-    // list the store by itself until it has heard that they are gone.
+  it('spreads watchers over zones', () => {
+    // If a zone with all watchers were lost, every instance would list the
+    // store itself until it learned that the watchers are gone.
     const members = createMembers({a: 2, b: 2, c: 3});
     const zones = decisions.findWatchers(members).map(id => id.split('-')[0]);
     chai.expect(new Set(zones).size).equal(zones.length);
   });
 
-  it('are mostly the larger instances', () => {
-    // A watcher on the least of machines had two thirds of its core used up,
-    // and its own callers waited.
+  it('prefers larger instances as watchers', () => {
+    // A watcher on the smallest machines used two thirds of its core, which
+    // delayed its own callers.
     const members = createMembers({a: 96, b: 96}).map((member, index) => ({
       ...member,
       cores: index % 8 === 0 ? 1.35 : 0.3,
@@ -62,25 +66,24 @@
     chai.expect(foundLarge.length).above(found.length / 8);
   });
 
-  it('asks its own zone first, and never itself', () => {
+  it('ranks sources of the own zone first, and never the instance itself', () => {
     const members = createMembers({a: 30, b: 30});
     for (const self of members) {
       const sources = decisions.rankSources(self, members);
       const isNear = (id: string) => id.startsWith(self.zone);
       const watchers = decisions.findWatchers(members);
-      const tellers = watchers.includes(self.id)
+      const candidates = watchers.includes(self.id)
         ? decisions.findStoreWatchers(watchers)
         : watchers;
-      const near = tellers.filter(id => isNear(id) && id !== self.id);
+      const near = candidates.filter(id => isNear(id) && id !== self.id);
       chai.expect(sources).not.include(self.id);
       chai.expect(sources.slice(0, near.length).every(isNear)).equal(true);
       chai.expect(sources).include.members([...near]);
     }
   });
 
-  it('are a few for the store, however many instances there are', () => {
-    // Each watcher had a watch open for each kind: the store's calls grew with
-    // the fleet.
+  it('lets two or three watchers watch the store, however large the fleet', () => {
+    // If every watcher watched the store, its calls would grow with the fleet.
     const counts = [7, 88, 195, 1_000].map(count => {
       const members = createMembers({a: count, b: count, c: count});
       const watchers = decisions.findWatchers(members);
@@ -91,7 +94,7 @@
     chai.expect(counts).eql([2, 3, 3, 3]);
   });
 
-  it('are told by those that watch the store, where they do not', () => {
+  it('makes the other watchers follow those that watch the store', () => {
     const members = createMembers({a: 100, b: 100, c: 100});
     const watchers = decisions.findWatchers(members);
     const own = decisions.findStoreWatchers(watchers);
@@ -118,23 +121,38 @@
     readonly ageMs: number;
     readonly mode: decisions.SyncMode;
   }[] = [
-    {name: 'a watcher', isWatcher: true, ageMs: 0, mode: 'watch'},
-    {name: 'one that is told', isWatcher: false, ageMs: 1_000, mode: 'none'},
-    {name: 'one told nothing', isWatcher: false, ageMs: 1_600, mode: 'ask'},
-    {name: 'one just started', isWatcher: false, ageMs: Infinity, mode: 'ask'},
+    {name: 'a store watcher', isWatcher: true, ageMs: 0, mode: 'watch'},
+    {
+      name: 'an instance with a fresh view',
+      isWatcher: false,
+      ageMs: 1_000,
+      mode: 'none',
+    },
+    {
+      name: 'an instance with a stale view',
+      isWatcher: false,
+      ageMs: 1_600,
+      mode: 'ask',
+    },
+    {
+      name: 'an instance that has just started',
+      isWatcher: false,
+      ageMs: Infinity,
+      mode: 'ask',
+    },
   ];
 
   modes.forEach(({name, isWatcher, ageMs, mode}) => {
-    it(`lets ${name} ${mode}`, () => {
+    it(`returns ${mode} for ${name}`, () => {
       const found = decisions.findSyncMode(isWatcher, ageMs, 2_000);
       chai.expect(found).equal(mode);
     });
   });
 
-  it('keeps what a watcher knows fresh, whenever changes come', () => {
-    // Changes of upstreams come at the end of each watch. Each confirms only
-    // what was known at its start; with the next watch as long, all instances
-    // took their watcher for one that has lost the store and left it.
+  it('keeps the view of a watcher from going stale, whenever changes come', () => {
+    // An answer with changes confirms only the state at the start of its watch.
+    // If it came at the end and the next watch were as long, all instances
+    // would leave the watcher as if it had lost the store.
     const boundMs = 2_000;
     for (let eventAtMs = 0; eventAtMs <= boundMs; eventAtMs += 50) {
       const first = decisions.findWatchDurationMs(boundMs, 0);
