--- a/packages/decisions/src/choose-addresses.ts
+++ b/packages/decisions/src/choose-addresses.ts
@@ -1,50 +1,51 @@
 /**
- * Decides which instances are named to a caller that asks where to connect.
+ * Chooses the instances that are listed to a caller that asks where to connect.
  *
- * Load: hundreds of instances in several availability zones, of which an
- * answer can name some, and callers that draw one of those at random, keep
- * their connections to it, and drop those to instances that a new answer
- * leaves out. Harm prevented: a part of the fleet takes all callers because
- * the same few are named everywhere, answers that differ from one to the next,
- * bytes between zones, and a zone's callers on the few instances that it has
- * left.
+ * Load: hundreds of instances in several availability zones, of which an answer
+ * can list only some. Callers choose one of the list at random, keep their
+ * connections to it, and close those to instances that a later answer no longer
+ * lists. Harm prevented: a part of the fleet serves all callers because the
+ * same few instances are listed everywhere; lists that differ from one answer
+ * to the next; traffic between zones; and all callers of a zone on the few
+ * instances that it has left.
  */
 import * as rendezvous from './rendezvous.js';
 
-/** An instance that takes callers. */
+/** An instance that accepts callers. */
 export interface DirectoryCandidate {
   readonly id: string;
   readonly zone: string;
   readonly region: string | undefined;
-  /** What its machine gives it, in processor cores. */
+  /** Processor cores available to it; may be a fraction. */
   readonly cores: number;
 }
 
-/** Who asks. */
+/** The caller that asks for addresses. */
 export interface DirectoryCaller {
   readonly zone: string | undefined;
   readonly region: string | undefined;
-  /** Names the caller, the same in all its questions. */
+  /** Identifies the caller; the same in all its requests. */
   readonly key: string;
 }
 
 /**
- * Instances that are named at least, as far as there are so many: some of them
- * may be lost at once, and a caller tries only those that it knows.
+ * Minimum number of instances to list, if there are so many. Several may be
+ * lost at once, and a caller tries only the listed ones.
  */
 const MIN_ADDRESSES = 12;
 
 /**
- * Least part of its share of all cores that a zone's own instances must have
- * to take its callers alone; below it others help out.
+ * Minimum cores of a zone's instances, relative to the mean over zones, to
+ * serve the zone's callers alone. Below it, instances of other zones are added.
  */
 const MIN_CORE_SHARE = 0.75;
 
 type Candidates = readonly DirectoryCandidate[];
 
 /**
- * Instances to name, at most `limit`: those of the caller's zone, and of other
- * zones of its region where its own has too few.
+ * Returns at most `limit` instances: those of the caller's zone, and some of
+ * other zones of its region if its own has too few. If the caller's region has
+ * no instances, all regions are used.
  */
 export const chooseAddresses = <T extends DirectoryCandidate>(
   candidates: readonly T[],
@@ -58,14 +59,14 @@
   if (own.length >= limit) {
     return rankByCores(caller.key, own).slice(0, limit);
   }
-  // All callers of a zone are named the same helpers, in answers of any
-  // instance: their connections to these stay in use.
+  // All callers of a zone get the same remote instances, whichever instance
+  // answers, so that their connections to these stay in use.
   const remote = rankByCores(caller.zone ?? caller.key, others);
   const count = countRemote(own, remote, findMeanZoneCores(usable));
   return [...own, ...remote.slice(0, count)].slice(0, limit);
 };
 
-/** Cores that the instances of each zone have on average. */
+/** Mean number of cores per zone. */
 const findMeanZoneCores = (candidates: Candidates): number => {
   const zones = new Set(candidates.map(({zone}) => zone));
   return sumCores(candidates) / Math.max(1, zones.size);
--- a/packages/decisions/src/cold-detector.ts
+++ b/packages/decisions/src/cold-detector.ts
@@ -1,35 +1,40 @@
 /**
- * Notices that an upstream has turned cold without warning: from its report,
- * a refusal, or answers far slower than they were.
+ * Detects that an upstream has become cold without notice: from its report, a
+ * refusal, or answers that are far slower than before.
  *
- * Load: a warm upstream at full use that restarts or loses its caches. Harm
- * prevented: full load on an upstream that bears a little, which makes it
- * fall over. One report or refusal is enough; slow answers must be several in
- * a row, as one long answer proves nothing.
+ * Load: a warm upstream at full load that restarts or loses its caches. Harm
+ * prevented: full load on a cold upstream with little capacity, which makes it
+ * fail. One report or refusal is enough. Slow answers have to be consecutive,
+ * because a single long answer proves nothing.
  */
 
-/** What an instance sees of an upstream. */
+/** One observation of an upstream by an instance. */
 export type UpstreamObservation =
   | {readonly kind: 'answer'; readonly firstTokenMs: number}
   | {readonly kind: 'refusal'; readonly reason: 'cold' | 'full'}
   | {readonly kind: 'report'; readonly startedAtMs: number};
 
-/** What is remembered of one upstream. */
+/** State of the detector for one upstream. */
 export interface ColdDetector {
   readonly isCold: boolean;
-  /** Usual time to the first token, while warm; undefined before any. */
+  /**
+   * Typical time to the first token, in ms, over answers that are not slow;
+   * undefined before the first answer.
+   */
   readonly typicalMs: number | undefined;
   readonly consecutiveSlow: number;
-  /** Start of the upstream's process, from its report. */
+  /** Start time of the upstream's process, from its last report. */
   readonly startedAtMs: number | undefined;
 }
 
+/** Multiple of the typical time above which an answer is slow. */
 const SLOW_FACTOR = 4;
+/** Consecutive slow answers after which an upstream counts as cold. */
 const CONSECUTIVE_SLOW_LIMIT = 3;
-/** Weight of one answer in the usual time. */
+/** Weight of one answer in the typical time. */
 const WEIGHT = 0.05;
 
-/** An upstream not seen before counts as cold until it is known to be warm. */
+/** State for an unknown upstream, which counts as cold until marked warm. */
 export const createColdDetector = (): ColdDetector => ({
   isCold: true,
   typicalMs: undefined,
@@ -37,7 +42,7 @@
   startedAtMs: undefined,
 });
 
-/** The upstream has warmed up. */
+/** Returns the state after the upstream has warmed up. */
 export const markWarm = (detector: ColdDetector): ColdDetector => ({
   ...detector,
   isCold: false,
@@ -61,7 +66,7 @@
   return {...detector, typicalMs: updatedMs, consecutiveSlow: 0};
 };
 
-/** Takes in a sign; the caller sends nothing new while `isCold`. */
+/** Applies an observation. The caller sends no new requests while `isCold`. */
 export const observeUpstream = (
   detector: ColdDetector,
   observation: UpstreamObservation,
--- a/packages/decisions/src/cold-share.ts
+++ b/packages/decisions/src/cold-share.ts
@@ -1,49 +1,49 @@
 /**
- * How much of what a cold upstream bears one instance may use, without asking
- * the others.
+ * One instance's share of a cold upstream's capacity, computed without asking
+ * the other instances.
  *
- * Load: a zone's upstreams that come back cold together, and every instance
- * with requests waiting for them. Harm prevented: each instance sends the
- * little that one may, and together they make the upstream fall over. Shares
- * need no message, so they hold also between instances that are cut off from
- * each other.
+ * Load: all upstreams of a zone come back cold at once, while every instance
+ * has requests waiting for them. Harm prevented: each instance uses the whole
+ * small capacity, and together they make the upstream fail. Shares need no
+ * messages, so they also hold between instances that cannot reach each other.
  */
 import * as instanceShare from './instance-share.js';
 
-/** What a cold upstream bears, in requests a second from all instances. */
+/** Capacity of a cold upstream, over the requests of all instances. */
 export interface ColdLimit {
+  /** Rate that the upstream can take, in requests per second. */
   readonly perSecond: number;
-  /** Factor on the rate that operators let pass. */
+  /** Factor on the rate up to which operators accept excess. */
   readonly overrun: number;
-  /** Requests on top. */
+  /** Number of requests allowed in addition. */
   readonly slack: number;
 }
 
 /**
- * Part of the limit that is shared out. The rest covers an instance that is
- * not yet known to the others, and requests that were held up on their way and
- * arrive together.
+ * Fraction of the limit that is divided among instances. The rest covers
+ * instances that the others don't know yet, and requests that were delayed on
+ * their way and arrive together.
  */
 const SHARED_FRACTION = 0.7;
 
-/** Requests a second that an instance may send while it knows no others. */
+/** Requests per second that an instance may send just after its start. */
 const NEW_INSTANCE_RATE = 1;
 
 /**
- * Time after its start in which an instance does not know all others, in ms:
- * of many that start together each hears of the rest by way of a few.
+ * Time after its start in which an instance may not know all others, in ms.
+ * When many start together, each learns of the rest through a few others.
  */
 const NEW_INSTANCE_MS = 3_000;
 
 /**
- * Requests a second that one instance may send to a cold upstream; 0 for none.
+ * Requests per second that one instance may send to a cold upstream; may be 0.
  *
- * Guards against instances that all start again at once: each knows itself
- * alone, takes the whole of what a cold upstream bears, and together they make
- * it fall over. In its first seconds an instance takes little, whomever it
- * knows.
+ * The share is small in the first seconds after a start, whichever instances
+ * are known. When all instances restart at once, each knows only itself:
+ * otherwise each would use the whole capacity, and together they would make the
+ * upstream fail.
  *
- * @param instances all instances that may send, this one included.
+ * @param instances all instances that may send, including this one.
  * @param uptimeMs time since this instance started.
  */
 export const findColdShare = (
--- a/packages/decisions/src/engine-tiers.ts
+++ b/packages/decisions/src/engine-tiers.ts
@@ -1,32 +1,35 @@
 /**
- * Which engines are set apart, for models of a tier and for prompts that begin
- * alike; the same on all instances, without a message.
+ * Assigns engines to model tiers and prompt prefixes. All instances compute the
+ * same assignment without exchanging messages.
  *
- * Load: cheap models that read every prompt first, beside capable ones that
- * take ten times as long for it, and thousands of prompts that share their
- * beginnings. Harm prevented: cheap answers that wait behind capable ones, and
- * shared beginnings read again by every engine.
+ * Load: cheap models that process every prompt first, next to capable ones that
+ * take ten times as long for it, and thousands of prompts with shared prefixes.
+ * Harm prevented: cheap answers wait behind capable ones, and every engine
+ * processes the shared prefixes again.
  */
 import type * as pickRequest from './pick-request.js';
 import * as rendezvous from './rendezvous.js';
 
 /**
- * Part of the engines that is set apart for cheap models. They read all
- * prompts first, at a tenth of the capable model's time for each token, and
- * make tokens up to twice as slowly where a capable model reads beside them.
+ * Fraction of engines reserved for cheap models. Cheap models process all
+ * prompts first, in a tenth of the capable model's time per token. They decode
+ * up to two times slower on an engine where a capable model prefills.
  */
 const CHEAP_FRACTION = 0.3;
 
-/** Names the ranking that sets engines apart; any fixed text does. */
+/** Rendezvous key of the tier split; any constant works. */
 const TIER_KEY = 'tier';
 
-/** Engines by whether they are set apart for the tier of a try. */
+/** Engines that are reserved for the tier of a request, and the others. */
 export interface EngineTiers {
   readonly own: readonly pickRequest.PickCandidate[];
   readonly other: readonly pickRequest.PickCandidate[];
 }
 
-/** Engines that are set apart for a tier, the same on all instances. */
+/**
+ * Splits engines by tier, in the same way on all instances. Without a tier, or
+ * with a single engine, all engines are `own`.
+ */
 export const splitByTier = (
   candidates: readonly pickRequest.PickCandidate[],
   tier: pickRequest.PickRequest['tier'],
@@ -49,7 +52,7 @@
   };
 };
 
-/** The upstream to which all instances send a shared beginning. */
+/** Id of the upstream to which all instances send a prefix. */
 export const findPrefixHome = (
   candidates: readonly pickRequest.PickCandidate[],
   prefixKey: string | undefined,
--- a/packages/decisions/src/expiry-queue.ts
+++ b/packages/decisions/src/expiry-queue.ts
@@ -1,13 +1,13 @@
-/** Waiting requests of all workspaces, by their last moment. */
+/** Waiting requests of all workspaces, ordered by deadline. */
 import * as heap from 'heap-js';
 import * as workspaceQueue from './workspace-queue.js';
 
 type Entry = workspaceQueue.QueuedRequest;
 
-/** Entries that left and may lie about beside as many that wait. */
+/** Removed entries that may stay in the heap beyond the number waiting. */
 const SLACK = 64;
 
-/** Finds the next request to give up on. */
+/** Finds the waiting request that expires next. */
 export class ExpiryQueue {
   private readonly entries = new heap.Heap<Entry>(
     workspaceQueue.compareByDeadline,
@@ -17,7 +17,7 @@
     this.entries.push(entry);
   }
 
-  /** The waiting request whose last moment comes first. */
+  /** The waiting request with the earliest deadline. */
   peek(): Entry | undefined {
     for (;;) {
       const entry = this.entries.peek();
@@ -28,7 +28,10 @@
     }
   }
 
-  /** Drops entries that left, so that they never outnumber those waiting. */
+  /**
+   * Drops entries of requests that have left the queue once they outnumber the
+   * waiting ones by more than `SLACK`.
+   */
   sweep(waitingCount: number): void {
     if (this.entries.length <= 2 * waitingCount + SLACK) {
       return;
--- a/packages/decisions/src/hash-ring.ts
+++ b/packages/decisions/src/hash-ring.ts
@@ -1,23 +1,24 @@
 /**
- * Consistent hashing with several probes: one point for each member, several
- * looks for each key. Members near the probes, nearest first, are the key's
- * choices; a member that joins or leaves moves only keys next to it.
+ * Multi-probe consistent hashing: each member has one point on the ring, and
+ * each key is looked up at several points. The members that follow these points
+ * most closely are the key's choices. A member that joins or leaves moves only
+ * the keys next to it.
  */
 import * as rendezvous from './rendezvous.js';
 
-/** Looks for each key; 8 keep the largest share under twice the mean. */
+/** Probes per key; 8 keep the largest share below twice the mean. */
 const PROBES_PER_KEY = 8;
 
 const RING_SIZE = 2 ** 32;
 
-/** Where members lie on the ring. Built once, when members change. */
+/** Immutable ring of members; build a new one when members change. */
 export class HashRing {
   private readonly points: Float64Array;
   private readonly indexes: Uint32Array;
-  /** First position in each of as many equal arcs as there are members. */
+  /** First position in each arc; there are as many equal arcs as members. */
   private readonly arcs: Uint32Array;
 
-  /** @param ids members; `lookUp` answers with indexes into them. */
+  /** @param ids members; `lookUp` returns indexes into this array. */
   constructor(ids: readonly string[]) {
     const placed = ids.map((id, index) => ({
       point: rendezvous.hashText(id),
@@ -46,15 +47,16 @@
       const position = this.search(point) % this.points.length;
       const distance = (this.points[position] ?? 0) - point;
       const index = this.indexes[position] ?? 0;
-      const onwards = distance < 0 ? distance + RING_SIZE : distance;
-      insertByDistance(found, distances, index, onwards);
+      const clockwise = distance < 0 ? distance + RING_SIZE : distance;
+      insertByDistance(found, distances, index, clockwise);
     }
     return found;
   }
 
   /**
    * First position whose point is not before `point`. Points are spread evenly,
-   * so that an arc holds about one, however many members there are.
+   * so an arc holds about one, however many members there are, and the search
+   * takes constant time on average.
    */
   private search(point: number): number {
     const arc = Math.floor((point / RING_SIZE) * this.arcs.length);
@@ -70,7 +72,7 @@
   }
 }
 
-/** Keeps members in order of distance, each at its shortest. */
+/** Inserts a member in order of distance; keeps its shortest distance. */
 const insertByDistance = (
   found: number[],
   distances: number[],
@@ -85,10 +87,10 @@
     found.splice(known, 1);
     distances.splice(known, 1);
   }
-  let place = found.length;
-  while (place > 0 && (distances[place - 1] ?? 0) > distance) {
-    place--;
+  let position = found.length;
+  while (position > 0 && (distances[position - 1] ?? 0) > distance) {
+    position--;
   }
-  found.splice(place, 0, index);
-  distances.splice(place, 0, distance);
+  found.splice(position, 0, index);
+  distances.splice(position, 0, distance);
 };
--- a/packages/decisions/src/hot-keys.ts
+++ b/packages/decisions/src/hot-keys.ts
@@ -1,17 +1,20 @@
-/** Shares of the most frequent keys in a stream, in bounded memory. */
+/** Estimates the shares of the most frequent keys in bounded memory. */
 
-/** Keys counted at once: a key under 1/64 of requests needs no spreading. */
+/** Maximum number of counted keys: one under 1/64 of requests isn't hot. */
 const MAX_KEYS = 64;
 
-/** Requests after which all counts are halved, so that shares stay recent. */
+/** Requests after which all counts are halved, to favor recent requests. */
 const HALVING_INTERVAL = 1024;
 
-/** Frequent keys by the Misra-Gries summary, with decay. */
+/** Misra-Gries summary of keys, with decay. */
 export class HotKeys {
   private total = 0;
   private readonly counts = new Map<string, number>();
 
-  /** Counts a key; returns its share of recent requests, 0 to 1, or less. */
+  /**
+   * Counts a key and returns its share of recent requests, 0 to 1. The share
+   * may be underestimated.
+   */
   record(key: string): number {
     this.total++;
     if (this.total >= HALVING_INTERVAL) {
--- a/packages/decisions/src/instance-share.ts
+++ b/packages/decisions/src/instance-share.ts
@@ -1,16 +1,16 @@
 /**
- * Shares a number of requests out among instances without a message: every
- * instance works out the same shares from the members that it knows. What it
- * gives up is the share of an instance that has no work. Pure.
+ * Divides a number of requests among instances without exchanging messages:
+ * every instance computes the same shares from the members that it knows. The
+ * drawback is that the share of an idle instance is not used. Pure functions.
  */
 import * as rendezvous from './rendezvous.js';
 
 /**
- * Requests of `total` that one instance may send; 0 for none.
+ * Number of requests, of `total`, that one instance may send; may be 0.
  *
- * @param key what the requests are for; it says who gets one where there are
- *     fewer requests than instances.
- * @param instances all instances that may send, this one included.
+ * @param key what the requests are for. It selects the instances that may send
+ *     one request when there are fewer requests than instances.
+ * @param instances all instances that may send, including this one.
  */
 export const findInstanceShare = (
   total: number,
--- a/packages/decisions/src/latency-estimates.ts
+++ b/packages/decisions/src/latency-estimates.ts
@@ -1,42 +1,45 @@
 /**
- * Usual latencies by kind of work, and how long to wait before a second
- * upstream is tried.
+ * Estimates typical latencies by kind of work, and derives how long to wait
+ * before another upstream is tried.
  *
- * Load: upstreams that accept requests and hang, or have turned slow, while
- * their health is good. Harm prevented: a caller waits out its whole time at
- * one of them; and, the other way, requests doubled when all are slow: what is
- * usual then grows, and so does the wait.
+ * Load: upstreams that accept requests and then hang or are slow, although
+ * their health checks pass. Harm prevented: a caller spends all its time at one
+ * of them; conversely, requests are doubled when all upstreams are slow. The
+ * typical latency then grows, and the wait with it.
  */
 import * as movingEstimate from './moving-estimate.js';
 
-/** Multiple of what is usual after which a plain request is tried elsewhere. */
+/** Multiple of the typical latency after which a plain request is hedged. */
 const HEDGE_FACTOR = 3;
 
-/** The same for a first token, which depends on the prompt as well. */
+/**
+ * The same for a first token. It is larger because the time to the first token
+ * also depends on the prompt.
+ */
 const FIRST_TOKEN_FACTOR = 5;
 
-/** Parts of the latency target between which the wait lies. */
+/** Bounds of the wait, as fractions of the latency target. */
 const HEDGE_RANGE = {min: 0.3, max: 0.6};
 const FIRST_TOKEN_RANGE = {min: 0.55, max: 0.85};
 
-/** Part of the longest pause after which a silent stream is taken elsewhere. */
+/** Fraction of the pause target after which a silent stream fails over. */
 const STALL_FRACTION = 1;
 
 /**
- * Part of a pause, or of the wait for a first token, after which it is asked
- * whether the upstream can still be reached. What is left is enough to go on
- * elsewhere without a pause that is too long.
+ * Fraction of a stall or first-token timeout after which the upstream is
+ * probed. The rest of the time is enough to continue at another upstream
+ * without exceeding the allowed pause.
  */
 const PROBE_FRACTION = 0.3;
 
 const clamp = (value: number, min: number, max: number): number =>
   Math.min(max, Math.max(min, value));
 
-/** Latencies seen by one instance. */
+/** Typical latencies measured by one instance. */
 export class LatencyEstimates {
   private readonly byKind = new Map<string, movingEstimate.MovingEstimate>();
 
-  /** Notes a latency, in milliseconds, of a kind of work. */
+  /** Records a latency, in milliseconds, of a kind of work. */
   record(kind: string, latencyMs: number): void {
     const estimate =
       this.byKind.get(kind) ?? new movingEstimate.MovingEstimate();
@@ -44,12 +47,12 @@
     estimate.add(latencyMs);
   }
 
-  /** Wait for a plain answer until another upstream is tried, in ms. */
+  /** Wait for a plain answer before another upstream is tried, in ms. */
   hedgeDelayMs(kind: string, targetMs: number): number {
     return this.findDelayMs(kind, targetMs, HEDGE_FACTOR, HEDGE_RANGE);
   }
 
-  /** Wait for a first token until another upstream is tried, in ms. */
+  /** Wait for a first token before another upstream is tried, in ms. */
   firstTokenTimeoutMs(kind: string, targetMs: number): number {
     return this.findDelayMs(
       kind,
@@ -79,6 +82,6 @@
 export const findProbeDelayMs = (timeoutMs: number): number =>
   PROBE_FRACTION * timeoutMs;
 
-/** Silence after which a stream is taken to another upstream, in ms. */
+/** Silence after which a stream fails over to another upstream, in ms. */
 export const findStallTimeoutMs = (pauseTargetMs: number): number =>
   STALL_FRACTION * pauseTargetMs;
--- a/packages/decisions/src/median-latencies.ts
+++ b/packages/decisions/src/median-latencies.ts
@@ -1,28 +1,28 @@
 /**
- * What first bytes usually take, by kind of work, as medians of recent ones.
+ * Median time to the first byte by kind of work, over recent requests.
  *
- * Load: versions that are judged by how slow their answers are, on days when
- * upstreams hang or a zone has no power. Harm prevented: a few answers that
- * took many seconds raise a mean for a hundred answers; a version that is slow
- * for half of its requests then passes for usual. Half of the samples would
- * have to be odd to move a median.
+ * Load: versions that are judged by the latency of their answers while some
+ * upstreams hang or a zone has lost power. Harm prevented: a few answers that
+ * took many seconds raise a mean for the next hundred answers, and a version
+ * that is slow for half of its requests then looks normal. A median moves only
+ * if half of the samples are outliers.
  */
 
-/** Samples kept of a kind; a service's instance sees as many in a minute. */
+/** Samples kept per kind; about as many as an instance gets in a minute. */
 const MAX_SAMPLES = 48;
 
-/** Samples of a kind from which its median tells something. */
+/** Minimum samples of a kind for a meaningful median. */
 const MIN_SAMPLES = 4;
 
-/** Kinds remembered; the one unused for longest is forgotten first. */
+/** Maximum number of kinds; the least recently recorded is evicted. */
 const MAX_KINDS = 256;
 
-/** Medians of one instance. */
+/** Median latencies measured by one instance. */
 export class MedianLatencies {
   /** Latest samples by kind, in milliseconds, oldest first. */
   private readonly byKind = new Map<string, number[]>();
 
-  /** Notes a latency, in milliseconds, of a kind of work. */
+  /** Records a latency, in milliseconds, of a kind of work. */
   record(kind: string, latencyMs: number): void {
     const samples = this.byKind.get(kind) ?? [];
     samples.push(latencyMs);
@@ -34,7 +34,7 @@
     this.evictOldest();
   }
 
-  /** Median of a kind in milliseconds; undefined while too few are known. */
+  /** Median of a kind, in ms; undefined while it has too few samples. */
   medianMs(kind: string): number | undefined {
     const samples = this.byKind.get(kind) ?? [];
     if (samples.length < MIN_SAMPLES) {
--- a/packages/decisions/src/moving-estimate.ts
+++ b/packages/decisions/src/moving-estimate.ts
@@ -1,6 +1,6 @@
 /** Exponentially weighted mean and mean deviation of a measured quantity. */
 
-/** Share of a new sample; 1/16 follows a change within some 30 samples. */
+/** Weight of a new sample; 1/16 follows a change within some 30 samples. */
 const GAIN = 1 / 16;
 
 /** Running mean and mean absolute deviation, in the unit of the samples. */
@@ -23,10 +23,11 @@
     return this.count > 0;
   }
 
-  /** @param minGain share of the sample when past ones are out of date. */
+  /** @param minGain minimum weight, for when past samples are out of date. */
   add(sample: number, minGain = GAIN): void {
     this.count++;
-    // The first samples weigh equally, so that one odd start is soon forgotten.
+    // The first samples have equal weights, so that an outlier at the start
+    // soon loses its influence.
     const gain = Math.max(GAIN, minGain, 1 / this.count);
     const error = sample - this.meanValue;
     this.meanValue += gain * error;
--- a/packages/decisions/src/pick-request.ts
+++ b/packages/decisions/src/pick-request.ts
@@ -1,22 +1,23 @@
-/** What is placed, and where it may go. */
+/** Input of the upstream picker: the candidates and the request. */
 
 /** An upstream that may be picked. */
 export interface PickCandidate {
   readonly id: string;
   readonly zone: string;
+  /** Number of requests that it batches at once. */
   readonly slots: number;
 }
 
-/** What one try brings to an upstream. */
+/** Work that one attempt puts on an upstream. */
 export interface PickRequest {
-  /** Tokens to read, weighted by what the model takes for each; 0 for none. */
+  /** Prompt tokens, weighted by the model's time per token; 0 if none. */
   readonly promptTokens: number;
-  /** Tokens of the answer to expect, weighted alike; 0 for none. */
+  /** Expected answer tokens, weighted the same way; 0 if none. */
   readonly answerTokens: number;
-  /** Of the prompt, tokens of a beginning that other requests share. */
+  /** Tokens of the prompt's prefix that other requests share. */
   readonly prefixTokens: number;
-  /** Names that beginning; undefined where nothing is shared. */
+  /** Identifies that prefix; undefined if none is shared. */
   readonly prefixKey: string | undefined;
-  /** Whether a cheap or a capable model runs; absent where there is one. */
+  /** Tier of the model; absent if the service has only one model. */
   readonly tier?: 'cheap' | 'capable';
 }
--- a/packages/decisions/src/placement-pool.ts
+++ b/packages/decisions/src/placement-pool.ts
@@ -1,4 +1,4 @@
-/** Upstreams of one target, by zone, with the subset an instance watches. */
+/** Upstreams of one target by zone, and the subset that an instance watches. */
 import * as hashRing from './hash-ring.js';
 import * as hotKeys from './hot-keys.js';
 import * as movingEstimate from './moving-estimate.js';
@@ -7,50 +7,54 @@
 
 type Load = upstreamLoad.UpstreamLoad;
 
-/** Values that one choice computes once. */
+/** Values that are computed once for each choice. */
 export interface PlacementContext {
-  /** Requests of all entry instances for each own one. */
+  /** Ratio of all entry instances' requests to own ones. */
   readonly loadScale: number;
-  /** Latency that is usual for the target, in milliseconds. */
+  /** Median latency of the target's upstreams, in milliseconds. */
   readonly medianLatencyMs: number;
   readonly nowMs: number;
 }
 
-/** Whose view a target is built for. */
+/** The instance that a target is built for. */
 export interface TargetOptions {
   readonly instanceId: string;
   readonly zone: string;
+  /** Number of upstreams to watch in the instance's own zone. */
   readonly subsetSize: number;
 }
 
-/** Extra draws when upstreams of the subset are not accepted. */
+/** Draws from all upstreams of a zone when none of the subset is accepted. */
 const EXTRA_DRAWS = 16;
 
 /** Latency assumed before the first answer, in milliseconds. */
 const INITIAL_LATENCY_MS = 500;
 
-/** Part of an upstream's share of requests from which a key is spread. */
+/**
+ * Load of a key above which it gets several homes, relative to the mean load of
+ * an upstream.
+ */
 const HOT_SHARE = 0.5;
 
-/** Homes of a hot key over those its requests fill. */
+/** Ratio of a hot key's homes to the upstreams that its requests would fill. */
 const HOME_SPREAD_FACTOR = 1.5;
 
-/** Time for which values over all watched upstreams are kept. */
+/** Time for which aggregates over watched upstreams are cached, in ms. */
 const REFRESH_MS = 200;
 
-/** Slowness that counts as chance: answers differ in length. */
+/** Slowness that is not penalized, because answers differ in length. */
 const TOLERATED_SLOWNESS = 1.5;
 
 /**
- * Cost of one more request: load over slots, times the square of slowness. In
- * a batch latency grows less than load does; without the square an idle
- * upstream that is 10 times slower looks as good as one with 10 requests.
+ * Cost of one more request: load per slot times the square of slowness. In a
+ * batch, latency grows more slowly than load. Without the square, an idle
+ * upstream that is 10 times slower would look as good as one with 10 requests.
  */
 export const costOf = (load: Load, context: PlacementContext): number => {
-  const used = load.expectedLoad(context.loadScale, context.nowMs) + 1;
+  const requests = load.expectedLoad(context.loadScale, context.nowMs) + 1;
   const slowness = load.slowness(context.medianLatencyMs, context.nowMs);
   const penalty = slowness <= TOLERATED_SLOWNESS ? 1 : slowness ** 2;
-  return (used / load.slots) * penalty;
+  return (requests / load.slots) * penalty;
 };
 
 /** Upstreams of one target in one zone. */
@@ -58,7 +62,7 @@
   private readonly ring: hashRing.HashRing;
   /** Upstreams that the instance watches and samples. */
   readonly subset: readonly Load[];
-  /** Share of an upstream's slots that one request takes. */
+  /** Mean fraction of an upstream's slots that one request takes. */
   readonly step: number;
   private readonly scratch: Load[];
   private readonly keys = new hotKeys.HotKeys();
@@ -71,8 +75,8 @@
     const ids = members.map(load => load.id);
     const byId = new Map(members.map(load => [load.id, load]));
     const {instanceId, subsetSize} = options;
-    // The subset depends on the instance alone: as others come and go it
-    // stays, and so does the number of instances that watch an upstream.
+    // The subset does not depend on other instances: it stays the same as they
+    // come and go, and so does the number of instances that watch an upstream.
     const chosen = rendezvous.rankByRendezvous(instanceId, ids, subsetSize);
     this.ring = new hashRing.HashRing(ids);
     this.subset = chosen.flatMap(id => byId.get(id) ?? []);
@@ -81,7 +85,7 @@
     this.step = this.subset.length / Math.max(1, slots);
   }
 
-  /** All upstreams of the zone that a key prefers, first choice first. */
+  /** Upstreams of the zone for a key, first choice first. */
   ranked(key: string): readonly Load[] {
     const ranked: Load[] = [];
     for (const index of this.ring.lookUp(key)) {
@@ -94,15 +98,16 @@
   }
 
   /**
-   * Upstreams that a key is spread over: one, or as many as its share of
-   * requests fills, or one prefix would take all its first choice has.
+   * Records a request for a key and returns the key's number of homes: the
+   * upstreams that its requests are spread over. A frequent key has several,
+   * because its requests would otherwise fill its first choice.
    */
-  homeCount(key: string): number {
-    const filled = this.keys.record(key) * this.members.length;
-    return filled < HOT_SHARE ? 1 : Math.ceil(filled * HOME_SPREAD_FACTOR);
+  recordKey(key: string): number {
+    const load = this.keys.record(key) * this.members.length;
+    return load < HOT_SHARE ? 1 : Math.ceil(load * HOME_SPREAD_FACTOR);
   }
 
-  /** Mean share of slots in use, as far as the subset shows. */
+  /** Mean fraction of slots in use, estimated from the subset. */
   meanUtilization(context: PlacementContext): number {
     let load = 0;
     let slots = 0;
@@ -113,7 +118,7 @@
     return load / Math.max(1, slots);
   }
 
-  /** Draws up to `count` accepted upstreams at random, none of them twice. */
+  /** Draws up to `count` distinct accepted upstreams at random. */
   draw(
     count: number,
     random: () => number,
@@ -130,7 +135,7 @@
     return drawn.length > 0 ? drawn : this.drawOutside(random, accepts);
   }
 
-  /** When the whole subset is excluded, some of the others may do. */
+  /** Draws one from the whole zone if none of the subset is accepted. */
   private drawOutside(
     random: () => number,
     accepts: (load: Load) => boolean,
@@ -171,14 +176,15 @@
     this.scratch = new Float64Array(this.watched.length);
   }
 
-  /** Latency that is usual: the median over upstreams that answered. */
+  /** Median latency over the watched upstreams that have answered. */
   get medianLatencyMs(): number {
     return this.latencyMs;
   }
 
   /**
-   * Requests of all entry instances for each own one, learnt from reports:
-   * no instance has to know how many others there are.
+   * Ratio of all entry instances' requests to own ones; at least 1. It is
+   * estimated from reports, so an instance need not know how many others there
+   * are.
    */
   loadScale(nowMs: number): number {
     if (nowMs - this.refreshedAtMs >= REFRESH_MS) {
@@ -211,16 +217,19 @@
 }
 
 /**
- * Other zones watched beside the own one, and upstreams in each: enough to
- * spill over to, without watching a version in all nine zones.
+ * Number of other zones that are watched, and of upstreams in each. These are
+ * enough to spill over to, and avoid watching a version in all nine zones.
  */
 const REMOTE_ZONES = 2;
 const REMOTE_SUBSET = 3;
 
-/** Up to this many times the subset, a target's upstreams are all watched. */
+/**
+ * Largest target, as a multiple of the subset size, that is watched in all
+ * zones.
+ */
 const WATCH_ALL_FACTOR = 2;
 
-/** Upstreams watched in a zone, the own zone being at rank 0. */
+/** Number of upstreams watched in a zone; the own zone has rank 0. */
 const subsetSizeAt = (
   rank: number,
   members: number,
@@ -243,12 +252,13 @@
     group.push(load);
     byZone.set(load.zone, group);
   }
-  // Instances spill over to different zones first, or they all meet in one.
+  // Each instance ranks the other zones differently, so that they don't all
+  // spill over to the same one.
   const zones = [
     ...rendezvous.rankByRendezvous(options.instanceId, [...byZone.keys()]),
   ];
-  const isOwn = (zone: string) => (zone === options.zone ? 0 : 1);
-  zones.sort((a, b) => isOwn(a) - isOwn(b));
+  const distanceTo = (zone: string) => (zone === options.zone ? 0 : 1);
+  zones.sort((a, b) => distanceTo(a) - distanceTo(b));
   const pools = zones.map(
     (zone, rank) =>
       new PlacementPool(zone, byZone.get(zone) ?? [], {
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -1,10 +1,11 @@
 /**
- * Placement at one entry instance: which upstream gets a request for a version
- * of a model. Each instance decides alone, with late reports.
+ * Chooses the upstream for a request to a model version or a plain service.
+ * Each entry instance decides alone, with load reports that arrive late.
  *
- * Made for 12,000 upstreams before 1,000 instances as for 8 before 7. It
- * prevents herds after a report, one slow upstream holding the tail, and
- * prefix caches that are filled everywhere and hit nowhere.
+ * Load: from 7 instances with 8 upstreams to 1,000 instances with 12,000. Harm
+ * prevented: all instances choosing the same upstream after a report, one slow
+ * upstream determining tail latency, and prefix caches that every upstream
+ * fills and none hits.
  */
 import * as placementPool from './placement-pool.js';
 import * as upstreamLoad from './upstream-load.js';
@@ -15,25 +16,28 @@
 export interface PlacementCandidate {
   readonly id: string;
   readonly zone: string;
-  /** What it runs, as `model@version`, or the name of a plain service. */
+  /** Targets that it runs: `model@version`, or the name of a plain service. */
   readonly serves: readonly string[];
-  /** Requests that it batches at once. */
+  /** Number of requests that it batches at once. */
   readonly slots: number;
 }
 
 /** A request that needs an upstream. */
 export interface PlacementRequest {
-  /** What has to run, as in `serves`. */
+  /** Target to run, in the form of `PlacementCandidate.serves`. */
   readonly target: string;
   /** Requests with the same key share a prefix or a session. */
   readonly affinityKey?: string;
-  /** Zones that operators have taken out. */
+  /** Zones that operators have taken out of service. */
   readonly excludedZones?: ReadonlySet<string>;
-  /** Whether an upstream may be used: not leaving, not cold, not tried yet. */
+  /**
+   * Whether an upstream may be used: false if it is leaving or cold, or was
+   * already tried.
+   */
   readonly accepts?: (upstreamId: string) => boolean;
 }
 
-/** How an upstream was found. */
+/** Rule by which an upstream was chosen. */
 export type PlacementReason = 'affinity' | 'sampled' | 'spill_over';
 
 /** Outcome of a choice. */
@@ -46,59 +50,74 @@
     }
   | {
       readonly kind: 'unplaced';
-      /** `unknown_target`: none runs it; `none_accepted`: all are excluded. */
+      /**
+       * `unknown_target`: no upstream runs the target; `none_accepted`: all
+       * that run it are excluded.
+       */
       readonly reason: 'unknown_target' | 'none_accepted';
     };
 
-/** Settings of a placement. */
+/** Options of a placement. */
 export interface PlacementOptions {
   readonly instanceId: string;
+  /** Availability zone of this instance. */
   readonly zone: string;
   /** Uniform random numbers in [0, 1). */
   readonly random: () => number;
-  /** Upstreams of a target and zone that this instance watches. */
+  /** Number of upstreams of a target and zone that this instance watches. */
   readonly subsetSize?: number;
-  /** Upstreams compared in one choice. */
+  /** Number of upstreams compared in one choice. */
   readonly samples?: number;
 }
 
 /**
- * Upstreams watched for each target and zone. At 33 versions and 9 zones a
- * zone has some 40 upstreams of a version; 12 of them leave room for slow and
- * excluded ones, and keep reports within 4 KB/s.
+ * Default number of upstreams watched for each target and zone. With 33
+ * versions and 9 zones, a zone has some 40 upstreams of a version. Watching 12
+ * of them leaves enough when some are slow or excluded, and keeps reports
+ * within 4 KB/s.
  */
 export const DEFAULT_SUBSET_SIZE = 12;
 
-/** Upstreams compared: with old reports, more of them make a herd. */
+/**
+ * Default number of upstreams compared in one choice. With more of them, old
+ * reports send all instances to the same upstream.
+ */
 export const DEFAULT_SAMPLES = 3;
 
 /**
- * Load up to which affinity holds, relative to the mean of the pool and one
- * request more. At 1.0 a fifth of the hits are lost as prefixes move at every
- * fluctuation; at 1.2 upstreams pass 1.3 times the mean load.
+ * Maximum load for affinity, relative to the mean load of the pool plus one
+ * request. At 1.0, prefixes move at every fluctuation and a fifth of the cache
+ * hits are lost. At 1.2, some upstreams exceed 1.3 times the mean load.
  */
 const AFFINITY_BOUND = 1.1;
 
-/** Slowness at which affinity gives way: a cache hit saves less than that. */
+/**
+ * Slowness above which affinity is ignored: a slower upstream costs more time
+ * than a cache hit saves.
+ */
 const AFFINITY_SLOWNESS = 2;
 
 /**
- * Share of slots in use at which other zones are considered. Below it a batch
- * has room, and a hop across zones buys nothing.
+ * Fraction of slots in use from which other zones are considered. Below it a
+ * batch has room, and a request gains nothing from another zone.
  */
 const SPILL_UTILIZATION = 0.85;
 
 /**
- * Difference in cost that counts as none. Where own requests are few, old
- * reports decide alone: the least of three would then draw all instances at
- * once, until the next report. Among equals the draw decides.
+ * Relative difference in cost that is ignored, so that the first upstream drawn
+ * is chosen among similar ones. An instance with few requests of its own
+ * decides by old reports alone: without the tolerance, all instances would
+ * choose the upstream with the lowest reported load until the next report.
  */
 const TOLERANCE = 0.15;
 
-/** How much better another zone has to look, or zones trade requests. */
+/**
+ * Maximum cost of an upstream in another zone, relative to the best one in the
+ * own zone. At 1, zones would send requests to each other back and forth.
+ */
 const SPILL_ADVANTAGE = 0.8;
 
-/** Chooses upstreams for one entry instance. Holds state; time is passed. */
+/** Chooses upstreams for one entry instance. Reads no clock. */
 export class Placement {
   private readonly loads = new Map<string, Load>();
   private readonly targets = new Map<string, placementPool.PlacementTarget>();
@@ -108,7 +127,7 @@
     this.samples = options.samples ?? DEFAULT_SAMPLES;
   }
 
-  /** Replaces the candidates; what is known of those that stay is kept. */
+  /** Replaces the candidates; keeps the state of those that remain. */
   setCandidates(candidates: readonly PlacementCandidate[]): void {
     const present = new Set<string>();
     const byTarget = new Map<string, Load[]>();
@@ -129,7 +148,7 @@
     this.rebuild(byTarget);
   }
 
-  /** Identities of all upstreams whose reports this instance needs. */
+  /** Ids of all upstreams whose load reports this instance needs. */
   watchedIds(): ReadonlySet<string> {
     const ids = new Set<string>();
     for (const target of this.targets.values()) {
@@ -140,7 +159,7 @@
     return ids;
   }
 
-  /** Chooses an upstream. The caller then calls `start` for it. */
+  /** Chooses an upstream; the caller has to call `start` for it. */
   choose(request: PlacementRequest, nowMs: number): PlacementOutcome {
     const target = this.targets.get(request.target);
     if (!target) {
@@ -171,12 +190,12 @@
       : {kind: 'unplaced', reason: 'none_accepted'};
   }
 
-  /** Notes that a request was sent to an upstream. */
+  /** Records that a request was sent to an upstream. */
   start(upstreamId: string, nowMs: number): void {
     this.loads.get(upstreamId)?.start(nowMs);
   }
 
-  /** Notes the end of a request; see `UpstreamLoad.finish` for latency. */
+  /** Records the end of a request; see `UpstreamLoad.finish` for latency. */
   finish(
     upstreamId: string,
     outcome: upstreamLoad.UpstreamOutcome,
@@ -186,12 +205,12 @@
     this.loads.get(upstreamId)?.finish(outcome, latencyMs, nowMs);
   }
 
-  /** Takes in a report of an upstream's load, measured at `measuredMs`. */
+  /** Applies a report of an upstream's load, measured at `measuredMs`. */
   report(upstreamId: string, load: number, measuredMs: number): void {
     this.loads.get(upstreamId)?.report(load, measuredMs);
   }
 
-  /** What is known of an upstream, for status and the time line. */
+  /** Load of an upstream, for status and the time line. */
   find(upstreamId: string): Load | undefined {
     return this.loads.get(upstreamId);
   }
@@ -225,8 +244,8 @@
   }
 
   /**
-   * Consistent hashing with bounded loads: the least loaded of the key's homes,
-   * or the next in rank with room.
+   * Consistent hashing with bounded loads: the cheapest of the key's homes that
+   * has room, otherwise the next upstream in rank that does.
    */
   private chooseAffine(
     pool: placementPool.PlacementPool,
@@ -238,21 +257,21 @@
     }
     const bound = AFFINITY_BOUND * (pool.meanUtilization(context) + pool.step);
     const ranked = pool.ranked(request.affinityKey);
-    const homes = pool.homeCount(request.affinityKey);
+    const count = pool.recordKey(request.affinityKey);
     const hasRoom = (load: Load): boolean =>
       load.expectedLoad(context.loadScale, context.nowMs) <=
         bound * load.slots &&
       load.slowness(context.medianLatencyMs, context.nowMs) <=
         AFFINITY_SLOWNESS &&
       isAccepted(load, request);
-    if (homes > 1) {
-      const open = ranked.slice(0, homes).filter(hasRoom);
-      return findCheapest(open, context) ?? ranked.slice(homes).find(hasRoom);
+    if (count > 1) {
+      const homes = ranked.slice(0, count).filter(hasRoom);
+      return findCheapest(homes, context) ?? ranked.slice(count).find(hasRoom);
     }
     return ranked.find(hasRoom);
   }
 
-  /** The best of a few, drawn at random from the watched subset. */
+  /** The cheapest of a few upstreams drawn at random from the subset. */
   private sample(
     pool: placementPool.PlacementPool,
     request: PlacementRequest,
@@ -269,12 +288,12 @@
     request: PlacementRequest,
     context: placementPool.PlacementContext,
   ): Load | undefined {
-    const used = local
+    const utilization = local
       ? local.expectedLoad(context.loadScale, context.nowMs) / local.slots
       : Infinity;
     const slowness =
       local?.slowness(context.medianLatencyMs, context.nowMs) ?? Infinity;
-    if (used < SPILL_UTILIZATION && slowness < AFFINITY_SLOWNESS) {
+    if (utilization < SPILL_UTILIZATION && slowness < AFFINITY_SLOWNESS) {
       return undefined;
     }
     const limit = local ? placementPool.costOf(local, context) : Infinity;
--- a/packages/decisions/src/prefill-backlog.ts
+++ b/packages/decisions/src/prefill-backlog.ts
@@ -1,42 +1,43 @@
 /**
- * How long the prompts that wait at a service's engines take to be read.
+ * Estimates how long a service's engines take to prefill the prompts that wait
+ * at them.
  *
- * Load: a crowd, or engines lost, so that prompts come faster than the engines
- * that are left read them. Harm prevented: doubtful answers asked for again at
- * a capable model whose queue is already longer than callers wait; and, the
- * other way, weak answers passed on while engines are merely busy. The wait of
- * an answer that has come tells of a queue as it was seconds ago; the prompts
- * that wait now tell what the next one will meet.
+ * Load: a burst of requests, or a loss of engines, so that prompts arrive
+ * faster than the remaining engines process them. Harm prevented: uncertain
+ * answers escalated to a capable model whose queue is already longer than
+ * callers wait; conversely, weak answers returned while engines are merely
+ * busy. The wait of a finished request reflects the queue of seconds ago, while
+ * the prompts that wait now determine the wait of the next one.
  */
 
-/** Prompts below this many weighted tokens tell little about reading. */
+/** Minimum weighted tokens of a sample; short prompts say little on speed. */
 const MIN_TOKENS = 1_000;
 
 /**
- * Weight of a sample that is slower than what is known. Waits only add to the
- * time that reading takes, so the fastest lately seen is what engines can do;
- * it fades in case they have turned slow.
+ * Weight of a sample that is slower than the estimate. Waiting only adds to the
+ * prefill time, so the fastest recent sample is closest to the engines' speed.
+ * Slower samples have a small weight, in case engines have become slow.
  */
 const SLOWER_SAMPLE_WEIGHT = 0.02;
 
 /**
- * Time in which half of what was learned fades while no prompt is read, in ms.
+ * Half-life of the estimated time per token while there are no samples, in ms.
  *
- * Guards against an instance that has only seen a crowd: it takes the crowd's
- * waits for the engines' speed, finds the capable model too dear for any
- * answer, and never sees a prompt read that would show otherwise.
+ * It guards against an instance that has only seen a burst: it takes the waits
+ * in the burst for the engines' speed, finds the capable model too expensive
+ * for any answer, and so never gets a sample that corrects the estimate.
  */
 const HALF_LIFE_MS = 4_000;
 
-/** Part of a latency target that the backlog may take at price. */
+/** Fraction of a latency target that the backlog may take at no surcharge. */
 const FREE_FRACTION = 0.4;
 
-/** Learns how fast one service's engines read. */
+/** Estimates the prefill speed of one service's engines. */
 export class PrefillBacklog {
   private msPerToken: number | undefined;
   private lastSampleMs = 0;
 
-  /** Notes a first token that took `waitMs` after so many weighted tokens. */
+  /** Records the time to the first token of a prompt of weighted tokens. */
   record(tokens: number, waitMs: number, nowMs: number): void {
     if (tokens < MIN_TOKENS) {
       return;
@@ -49,8 +50,8 @@
   }
 
   /**
-   * Time until prompts are read that wait now, in ms; 0 while it is not known
-   * how fast engines read.
+   * Time until all waiting prompts are processed, in ms; 0 while the prefill
+   * speed is unknown.
    *
    * @param waitingTokens weighted tokens that wait at all engines together.
    */
@@ -59,13 +60,16 @@
     return (msPerToken * waitingTokens) / Math.max(1, engines);
   }
 
-  /** Time that a token takes to be read, in ms, as far as it is known. */
+  /** Estimated prefill time of a token, in ms; undefined without samples. */
   private msPerTokenAt(nowMs: number): number | undefined {
     const idleMs = Math.max(0, nowMs - this.lastSampleMs);
     return this.msPerToken && this.msPerToken * 2 ** (-idleMs / HALF_LIFE_MS);
   }
 }
 
-/** How dear the capable model is while prompts wait that long; 1 at price. */
+/**
+ * Factor on the price of the capable model for a backlog of `waitMs`; at least
+ * 1.
+ */
 export const scarcityOfBacklog = (waitMs: number, targetMs: number): number =>
   Math.max(1, (waitMs / (FREE_FRACTION * targetMs)) ** 2);
--- a/packages/decisions/src/prefill-priority.ts
+++ b/packages/decisions/src/prefill-priority.ts
@@ -1,20 +1,23 @@
 /**
- * The order in which engines take prompts that wait.
+ * Priority of a prompt among those that wait at an engine.
  *
- * Load: long prompts beside short ones, more at once than an engine reads in
- * the time that a first token may take. Harm prevented: a report of a thousand
- * tokens that waits for ten logs of ten thousand, so that both are late. Taken
- * shortest first, the most callers are on time; a long one loses the little
- * that short ones before it take.
+ * Load: long prompts mixed with short ones, more at once than an engine can
+ * process within the target for the first token. Harm prevented: a prompt of a
+ * thousand tokens waits behind ten of ten thousand, so that all are late. With
+ * the shortest first, most callers are on time, and a long prompt is delayed
+ * only by the short time that the prompts before it take.
  */
 
-/** Longest prompt of the first rank, in tokens; each next one takes twice. */
+/**
+ * Longest prompt of the highest priority, in tokens; the limit doubles with
+ * each lower priority.
+ */
 const HIGHEST_PRIORITY_TOKENS = 350;
 
-/** Ranks that an engine tells apart; 0 comes first. */
+/** Lowest priority that engines distinguish; 0 is the highest. */
 export const LOWEST_PREFILL_PRIORITY = 9;
 
-/** Rank of a prompt among those that wait at its engine. */
+/** Priority of a prompt, from 0 to `LOWEST_PREFILL_PRIORITY`. */
 export const findPrefillPriority = (promptTokens: number): number => {
   const doublings = Math.log2(promptTokens / HIGHEST_PRIORITY_TOKENS);
   return Math.min(LOWEST_PREFILL_PRIORITY, Math.max(0, Math.ceil(doublings)));
--- a/packages/decisions/src/rendezvous.ts
+++ b/packages/decisions/src/rendezvous.ts
@@ -1,6 +1,6 @@
 /**
- * Rendezvous (highest random weight) hashing: every process ranks the same
- * identities for a key in the same order, without talking to another.
+ * Rendezvous (highest random weight) hashing: all processes rank the same ids
+ * for a key in the same order, without communication.
  */
 import * as murmurhash from 'murmurhash';
 
@@ -27,9 +27,9 @@
   b.weight - a.weight || (a.id < b.id ? -1 : a.id > b.id ? 1 : 0);
 
 /**
- * Ranks `ids` for `key`, first choice first; at most `count` are returned.
- * Removing an identity leaves the order of all others as it was, so that the
- * loss of one instance moves only the keys it ranked first for.
+ * Ranks `ids` for `key`, first choice first; returns at most `count`. Removing
+ * an id does not change the order of the others, so the loss of an instance
+ * moves only the keys that it ranked first for.
  */
 export const rankByRendezvous = (
   key: string,
@@ -45,9 +45,10 @@
   return ranked.slice(0, count).map(entry => entry.id);
 };
 
-/** An identity with its weight among others, above 0. */
+/** An id to rank by weight. */
 export interface WeightedId {
   readonly id: string;
+  /** Relative weight, above 0. */
   readonly weight: number;
 }
 
@@ -55,8 +56,8 @@
 const HASH_RANGE = 2 ** 32;
 
 /**
- * Ranks identities for `key` like `rankByRendezvous`; one with twice the
- * weight ranks first for twice as many keys.
+ * Ranks ids for `key` like `rankByRendezvous`; an id with twice the weight
+ * ranks first for twice as many keys.
  */
 export const rankByWeight = (
   key: string,
--- a/packages/decisions/src/scarcity-meter.ts
+++ b/packages/decisions/src/scarcity-meter.ts
@@ -1,37 +1,38 @@
 /**
- * How dear the capable model of a service is now, against its price.
+ * Estimates the scarcity of a service's capable model: a factor on its price.
  *
- * Load: a zone is taken out, or upstreams are lost, and the engines that are
- * left carry a third of what comes. Harm prevented: every doubtful answer is
- * asked for again at the capable model, whose prompts then wait for seconds
- * before all others; nothing is on time. The first token's wait is the sign,
- * for it is what callers feel and what engines of any size have in common.
+ * Load: a zone is taken out or upstreams are lost, and the remaining engines
+ * can take a third of the requests. Harm prevented: every uncertain answer is
+ * escalated to the capable model, whose prompts then delay all others by
+ * seconds, and no answer is on time. The estimate uses the wait for the first
+ * token, because callers notice it, and it is comparable between engines of any
+ * size.
  */
 
-/** Part of the latency target that a first token may take at price. */
+/** Fraction of the latency target that a first token may take at factor 1. */
 const FREE_FRACTION = 0.6;
 
-/** Weight of one wait; some ten of them tell. */
+/** Weight of one wait; about ten of them determine the estimate. */
 const GAIN = 0.15;
 
 /**
- * Time in which half of what was learned fades, in ms. While nothing capable
- * runs nobody learns that engines are free again.
+ * Half-life of the estimate, in ms. Without this decay nothing would show that
+ * engines are free again while no request runs on the capable model.
  */
 const HALF_LIFE_MS = 4_000;
 
-/** Highest value; beyond it nothing is worth the capable model any more. */
+/** Maximum factor; no answer is worth the capable model at a higher one. */
 const MAX_SCARCITY = 30;
 
-/** Learns from the waits of one instance. */
+/** Estimates scarcity from the waits that one instance measures. */
 export class ScarcityMeter {
-  /** Waits against what they may take, averaged. */
+  /** Moving average of waits relative to the allowed wait. */
   private pressure = 0;
   private decayedAtMs = 0;
 
   /**
-   * Notes how long a capable model's first token took, or how long it was
-   * waited for in vain.
+   * Records the wait for a first token of the capable model, or how long a
+   * request waited before it gave up.
    */
   record(waitMs: number, targetMs: number, nowMs: number): void {
     const before = this.decay(nowMs);
@@ -39,7 +40,7 @@
       before + GAIN * (waitMs / (FREE_FRACTION * targetMs) - before);
   }
 
-  /** 1 while waits are short; grows with the square of their excess. */
+  /** Factor on the price: 1 for short waits, then the square of `pressure`. */
   value(nowMs: number): number {
     const pressure = this.decay(nowMs);
     return Math.min(MAX_SCARCITY, Math.max(1, pressure * pressure));
--- a/packages/decisions/src/slot-pool.ts
+++ b/packages/decisions/src/slot-pool.ts
@@ -1,4 +1,7 @@
-/** Slots of one entry instance: who holds them, and how fast they turn over. */
+/**
+ * Slots of one entry instance: which requests hold them, for how long, and how
+ * many are reserved for more urgent priorities.
+ */
 import * as demandMeter from './demand-meter.js';
 import * as movingEstimate from './moving-estimate.js';
 import * as workspaceQueue from './workspace-queue.js';
@@ -9,22 +12,22 @@
 export interface RunningRequest {
   readonly request: workspaceQueue.AdmissionRequest;
   readonly admittedMs: number;
-  /** Slot time charged to the workspace at admission. */
+  /** Slot time charged to the workspace at admission, in milliseconds. */
   readonly chargedMs: number;
 }
 
-/** Least and largest share of slots kept from a priority. */
+/** Bounds on the fraction of slots that a priority may not use. */
 interface Reserve {
   readonly min: number;
   readonly max: number;
 }
 
 /**
- * Slots kept from less urgent work for the demand of more urgent work. Running
- * work is not interrupted: without a reserve a door check waits until one of
- * many long answers ends, and long answers take each slot that short ones
- * leave free for a moment. What is left over is never taken, so that less
- * urgent work is not starved.
+ * Slots that less urgent priorities may not use, reserved for more urgent
+ * demand. Running requests are not preempted: without a reserve a door check
+ * waits until one of many long answers ends, and long answers take every slot
+ * that short ones free for a moment. The slots above the maximum are never
+ * reserved, so that less urgent requests are not starved.
  */
 const RESERVE: Readonly<Record<Priority, Reserve>> = {
   door_check: {min: 0, max: 0},
@@ -33,10 +36,11 @@
 };
 
 /**
- * Deviations of demand that slots are kept for (square-root staffing, demand
- * being about Poisson). With 2.3 for door checks, who then wait in 1 of 100
- * cases, interactive work lost a tenth of its answers and door checks gained
- * nothing, as slots come free often enough.
+ * Standard deviations of demand that are reserved on top of its mean
+ * (square-root staffing, with roughly Poisson demand). With 2.3 for door
+ * checks, at which 1 in 100 has to wait, interactive requests lost a tenth of
+ * their answers. Door checks gained nothing, because slots become free often
+ * enough.
  */
 const STAFFING: Readonly<Record<Priority, number>> = {
   door_check: 1,
@@ -44,19 +48,19 @@
   batch: 0,
 };
 
-/** Time over which demand is averaged: that of a long answer. */
+/** Window over which demand is averaged: the duration of a long answer. */
 const DEMAND_WINDOW_MS = 10_000;
 
-/** Demand in slots below which a priority counts as unused. */
+/** Total demand of more urgent priorities below which nothing is reserved. */
 const MIN_DEMAND = 0.01;
 
 /** Service time assumed before the first measurement. */
 const INITIAL_SERVICE_MS = 500;
 
-/** Mean gaps between releases without one, after which service has stalled. */
+/** Number of mean release gaps without a release that count as a stall. */
 const STALL_GAPS = 8;
 
-/** Slots that requests hold while they run. */
+/** Tracks the requests that hold slots, and reserves slots by priority. */
 export class SlotPool {
   /** Time that requests hold a slot, in milliseconds. */
   readonly serviceTime = new movingEstimate.MovingEstimate();
@@ -82,7 +86,7 @@
       batch: new demandMeter.DemandMeter(DEMAND_WINDOW_MS),
     };
 
-  /** @param capacity slots in all; may fall below those taken. */
+  /** @param capacity total slots; may be set below the number in use. */
   constructor(public capacity: number) {}
 
   get inFlight(): number {
@@ -101,7 +105,10 @@
       : INITIAL_SERVICE_MS;
   }
 
-  /** Longest mean service of what may run: that of some priority, or of all. */
+  /**
+   * Longest mean time that a request holds a slot, in milliseconds: the maximum
+   * over each priority and all of them together.
+   */
   get longestServiceMs(): number {
     let longest = this.meanServiceMs;
     for (const priority of workspaceQueue.ADMISSION_PRIORITIES) {
@@ -110,7 +117,7 @@
     return longest;
   }
 
-  /** Notes a request that asks for a slot, for the reserves. */
+  /** Records a request for a slot in the demand that reserves depend on. */
   recordDemand(priority: Priority, serviceMs: number, nowMs: number): void {
     this.demand[priority].add(serviceMs, nowMs);
   }
@@ -127,7 +134,7 @@
     this.runningByPriority[request.priority]++;
   }
 
-  /** Frees a slot; undefined when the request holds none. */
+  /** Frees the slot of a request; returns undefined if it holds none. */
   release(id: string, nowMs: number): RunningRequest | undefined {
     const running = this.running.get(id);
     if (!running) {
@@ -168,14 +175,16 @@
     const {min, max} = RESERVE[priority];
     const floor = Math.ceil(min * this.capacity);
     const ceiling = Math.floor(max * this.capacity);
-    // One slot always stays open, or small capacities would starve the rest.
+    // Never reserve the last slot, or less urgent requests would starve at
+    // small capacities.
     const bound = Math.min(Math.max(floor, ceiling), this.capacity - 1);
     return Math.min(Math.max(floor, Math.ceil(wanted)), bound);
   }
 
   /**
-   * Above 1 when releases stay out: the mean of past service times says
-   * nothing once an upstream hangs, and requests would queue for it in vain.
+   * Factor on expected service times; above 1 when no slot has been released
+   * for too long. When an upstream hangs, past service times predict nothing,
+   * and requests would queue without a chance of being served.
    */
   stallFactor(nowMs: number): number {
     const gapMs = this.meanServiceMs / Math.max(1, this.capacity);
--- a/packages/decisions/src/standing-queue.ts
+++ b/packages/decisions/src/standing-queue.ts
@@ -1,4 +1,4 @@
-/** How long requests of a priority, or more urgent ones, have been waiting. */
+/** Measures for how long the queue of each priority has not been empty. */
 import * as workspaceQueue from './workspace-queue.js';
 
 type Priority = workspaceQueue.AdmissionPriority;
@@ -10,7 +10,7 @@
   lastEmptyMs: number;
 }
 
-/** Tells a standing queue from a burst, for each priority. */
+/** Distinguishes a standing queue from a burst, for each priority. */
 export class StandingQueue {
   private readonly levels: Readonly<Record<Priority, Level>> = {
     door_check: {count: 0, lastEmptyMs: 0},
@@ -18,7 +18,7 @@
     batch: {count: 0, lastEmptyMs: 0},
   };
 
-  /** Waiting requests of all priorities. */
+  /** Number of waiting requests of all priorities. */
   get count(): number {
     return this.levels.batch.count;
   }
@@ -36,7 +36,10 @@
     }
   }
 
-  /** Time for which what goes before a priority has not run dry. */
+  /**
+   * Time for which requests of a priority or more urgent ones have been waiting
+   * without a gap, in milliseconds.
+   */
   standingMs(priority: Priority, nowMs: number): number {
     const {count, lastEmptyMs} = this.levels[priority];
     return count === 0 ? 0 : nowMs - lastEmptyMs;
--- a/packages/decisions/src/stream-pace.ts
+++ b/packages/decisions/src/stream-pace.ts
@@ -1,23 +1,26 @@
 /**
- * How fast the events of one stream follow each other, as an early sample.
+ * Measures the mean pause between the events of a stream from its first events.
  *
- * Load: streams that go on for many seconds. Harm prevented: an engine whose
- * first token is on time and whose further ones take five times as long passes
- * for a good one, and shows only when its streams end. Pure: time is an
- * argument.
+ * Load: streams that last many seconds. Harm prevented: an engine whose first
+ * token is on time, but whose further tokens take five times as long, is
+ * considered healthy until its streams end. The module reads no clock: time is
+ * an argument.
  */
 
-/** Pauses that are measured; a few steps of an engine tell its pace. */
+/** Pauses to measure; a few steps of an engine show its pace. */
 const MEASURED_PAUSES = 4;
 
-/** Measures one stream. */
+/** Pace of one stream. */
 export class StreamPace {
   private firstAtMs: number | undefined;
   private lastAtMs = 0;
   private pauses = 0;
   private isTaken = false;
 
-  /** Notes an event; returns the mean pause, in ms, once it is known. */
+  /**
+   * Records an event. Returns the mean pause, in ms, when enough pauses have
+   * been measured, and undefined before and after that.
+   */
   record(nowMs: number): number | undefined {
     this.lastAtMs = nowMs;
     if (this.firstAtMs === undefined) {
@@ -28,7 +31,10 @@
     return this.pauses >= MEASURED_PAUSES ? this.take() : undefined;
   }
 
-  /** The mean pause, in ms, of a stream that ended sooner; once only. */
+  /**
+   * Returns the mean pause, in ms, for a stream that ended early; undefined if
+   * it was returned before or there is no pause.
+   */
   take(): number | undefined {
     if (this.isTaken || this.firstAtMs === undefined || this.pauses === 0) {
       return undefined;
--- a/packages/decisions/src/upstream-cost.ts
+++ b/packages/decisions/src/upstream-cost.ts
@@ -1,88 +1,97 @@
 /**
- * What a try costs at an upstream, in prompt tokens: what it waits for there,
- * what it holds up, and what it risks. Pure.
+ * Cost of an attempt at an upstream, in prompt tokens: the wait there, the
+ * delay that it causes to other requests, and the risk of failure. Pure
+ * functions.
  */
 import type * as pickRequest from './pick-request.js';
 import type * as upstreamStats from './upstream-stats.js';
 
 /**
- * Cost of one request in progress, in prompt tokens. An engine's step takes a
- * few percent longer for each request of its batch; thirty of them delay a
- * first token about as much as one long prompt.
+ * Cost of one request in progress, in prompt tokens. Each request of a batch
+ * makes an engine's step a few percent longer; thirty of them delay a first
+ * token about as much as one long prompt.
  */
 const REQUEST_TOKENS = 250;
 
 /**
- * Time that making an answer's token counts for, in seconds, against the
- * prompts that come in it: a fifth of what a capable model takes, for an answer
- * that is held up is still on time if it began in time.
+ * Decode time assumed for one answer token, in seconds, in which arriving
+ * prompts can interrupt the answer. It is a fifth of the decode time of a
+ * capable model, because an answer that is delayed midway is still on time if
+ * its first token was.
  */
 const SECONDS_PER_ANSWER_TOKEN = 0.002;
 
 /**
- * Part of a prompt's cost that it brings to each request in progress, which
- * mostly can wait.
+ * Fraction of a prompt's tokens that counts as delay for each request in
+ * progress. It is small because most of them can wait.
  */
 const PROMPT_INTERFERENCE_FRACTION = 0.02;
 
 /**
- * Most that standing still counts for, in prompt tokens: less than an engine
- * that is set apart for the other tier, which reads little by this measure.
+ * Maximum cost of interference, in prompt tokens. It is below the cost of an
+ * engine reserved for the other tier, which would otherwise look cheap because
+ * it gets few prompt tokens.
  */
 const MAX_INTERFERENCE_TOKENS = 4_000;
 
 /**
- * Cost of another zone, in prompt tokens: two ms of round trip and the price
- * of the bytes, less than reading a short shared beginning again.
+ * Cost of another zone, in prompt tokens: a round trip of 2 ms and the price of
+ * the traffic. It is less than processing a short shared prefix again.
  */
 const OTHER_ZONE_TOKENS = 300;
 
 /**
- * Cost of an engine that is set apart for the other tier, in prompt tokens:
- * as much as a long prompt, so that a tier spills over when its own are full.
+ * Cost of an engine that is reserved for the other tier, in prompt tokens. It
+ * equals a long prompt, so that a tier spills over when its own engines are
+ * full.
  */
 export const OTHER_TIER_TOKENS = 5_000;
 
 /**
- * Cost of an engine whose batch is full, in prompt tokens: a prompt waits there
- * until an answer of others has ended, or takes the place of one in progress,
- * which is read again later. It is more than an engine of the other tier.
+ * Cost of an engine whose batch is full, in prompt tokens. A prompt waits there
+ * until another answer ends, or it preempts one in progress, whose prompt then
+ * has to be processed again. It is more than the cost of an engine of the other
+ * tier.
  */
 const FULL_BATCH_TOKENS = 12_000;
 
 /**
- * Part of an engine's batch from which on it counts as filling up. What others
- * have sent there in the last half second is not known yet.
+ * Fraction of an engine's batch from which it counts as nearly full. It is well
+ * below 1 because requests that other instances sent in the last half second
+ * are not known yet.
  */
 const NEARLY_FULL_FRACTION = 0.6;
 
-/** Differences below this many tokens are chance; among them the draw decides. */
+/**
+ * Range of the random noise added to each cost, in tokens. Smaller differences
+ * in cost are due to chance and should not decide.
+ */
 const NOISE_TOKENS = 150;
 
 /**
- * Cost of a whole batch, in prompt tokens, for plain services: a request that
- * has to wait for a slot waits for as long as one takes.
+ * Cost of a full batch for plain services, in prompt tokens. A request that
+ * waits for a slot waits as long as one request takes.
  */
 const PLAIN_FULL_BATCH_TOKENS = 6_000;
 
-/** Cost of the failure rate, in tokens: what a failed try wastes. */
+/** Cost of a failure rate of 1, in tokens: what a failed attempt wastes. */
 const FAILURE_TOKENS = 12_000;
 
-/** An upstream as a try would find it. */
+/** State of an upstream that the cost of an attempt depends on. */
 export interface CandidateState {
   readonly candidate: pickRequest.PickCandidate;
-  /** Signs of all instances. */
+  /** Stats over all instances. */
   readonly stats: upstreamStats.UpstreamSnapshot;
-  /** Weighted tokens of this instance's own prompts that wait there. */
+  /** Weighted tokens of this instance's prompts that wait there. */
   readonly ownWaitingTokens: number;
-  /** Whether it keeps the beginning that the prompt shares. */
+  /** Whether all instances send the prompt's prefix to this upstream. */
   readonly isPrefixHome: boolean;
-  /** Whether it lies in the instance's zone. */
+  /** Whether it is in this instance's zone. */
   readonly isSameZone: boolean;
 }
 
 /**
- * Cost of a try, in prompt tokens.
+ * Cost of an attempt, in prompt tokens.
  *
  * @param random uniform random numbers in [0, 1).
  */
@@ -115,17 +124,17 @@
   );
 };
 
-/** Whether so many requests in progress nearly fill an upstream's batch. */
+/** Whether `inFlight` requests nearly fill an upstream's batch. */
 export const isNearlyFull = (inFlight: number, slots: number): boolean =>
   inFlight >= NEARLY_FULL_FRACTION * slots;
 
 /**
- * Cost of standing still, in prompt tokens. An engine makes no answer's token
- * while it reads a piece of a prompt: a long answer is held up by the prompts
- * that come meanwhile, and a long prompt holds up the answers in progress.
- * Counted, long answers and long prompts find their way to different engines;
- * side by side, answers of a few seconds took twenty, and were cut by their
- * time limit or by the end of a process.
+ * Cost of interference between prefill and decode, in prompt tokens. An engine
+ * decodes nothing while it processes a chunk of a prompt: a long answer is
+ * delayed by prompts that arrive meanwhile, and a long prompt delays the
+ * answers in progress. This cost sends long answers and long prompts to
+ * different engines. On the same engine, answers of a few seconds took twenty,
+ * and were cut off by their timeout or by the end of a process.
  */
 const findInterferenceTokens = (
   {promptTokens, answerTokens}: pickRequest.PickRequest,
@@ -139,12 +148,12 @@
   );
 
 /**
- * Cost of a batch that fills up, in prompt tokens. Engines that are set apart
- * for a tier spill over before their batches are full; short prompts would else
- * push out long answers there while other engines have room.
+ * Cost of a batch that is filling up, in prompt tokens. It makes engines that
+ * are reserved for a tier spill over before their batches are full. Otherwise
+ * short prompts would preempt long answers there while other engines have room.
  */
 const findFullBatchTokens = (inFlight: number, slots: number): number => {
-  const filled =
+  const excess =
     (inFlight / slots - NEARLY_FULL_FRACTION) / (1 - NEARLY_FULL_FRACTION);
-  return FULL_BATCH_TOKENS * Math.max(0, filled);
+  return FULL_BATCH_TOKENS * Math.max(0, excess);
 };
--- a/packages/decisions/src/upstream-load.ts
+++ b/packages/decisions/src/upstream-load.ts
@@ -1,39 +1,40 @@
 /**
- * What one entry instance knows of an upstream: its own requests there, the
- * load last reported, and how long answers take.
+ * Load and latency of one upstream as one entry instance estimates them from
+ * its own requests and the last load report.
  */
 import * as movingEstimate from './moving-estimate.js';
 
 /** How a request to an upstream ended. */
 export type UpstreamOutcome = 'answered' | 'failed' | 'cancelled';
 
-/** Width and number of the time slots in which own requests are remembered. */
+/** Width and number of the steps in the history of own requests. */
 const HISTORY_STEP_MS = 250;
 const HISTORY_STEPS = 32;
 
-/** Age at which a report says nothing about the present. */
+/** Age at which a load report is ignored, in milliseconds. */
 const REPORT_TTL_MS = 8000;
 
 /**
- * Weight of a fresh report against own requests. Every instance sees the same
- * report, so that all of them together answer a difference of 1 by
- * w / (1 - w): below 1, and the herd dies out; at 1 and above it swings.
+ * Weight w of a fresh report against the load extrapolated from own requests.
+ * All instances see the same report, and together they respond to a difference
+ * of 1 with w / (1 - w) requests. Below 1 the response dies out; at 1 and above
+ * the load oscillates.
  */
 const REPORT_WEIGHT = 0.3;
 
 /**
- * Time in which half of a measured slowness is forgotten without new samples,
- * or an upstream once slow would never be tried again.
+ * Half-life of a measured slowness without new samples. Without this decay an
+ * upstream that was slow once would never be tried again.
  */
 const SLOWNESS_HALF_LIFE_MS = 10_000;
 
-/** Largest power of 2 by which failures in a row make an upstream look slow. */
+/** Maximum exponent of 2 by which consecutive failures multiply the latency. */
 const MAX_FAILURE_EXPONENT = 6;
 
-/** Answers that should have come, after which an upstream counts as stalled. */
+/** Number of overdue answers after which an upstream counts as stalled. */
 const STALL_ANSWERS = 3;
 
-/** Load and latency of one upstream as one entry instance sees them. */
+/** Tracks the load and latency of one upstream for one entry instance. */
 export class UpstreamLoad {
   /** Own requests in progress there. */
   inFlight = 0;
@@ -47,14 +48,14 @@
   private ownAtReport = 0;
   private reportMs = -Infinity;
 
-  /** @param slots requests that the upstream batches at once. */
+  /** @param slots number of requests that the upstream batches at once. */
   constructor(
     readonly id: string,
     readonly zone: string,
     public slots: number,
   ) {}
 
-  /** Notes that a request was sent. */
+  /** Records that a request was sent. */
   start(nowMs: number): void {
     this.advanceHistory(nowMs);
     if (this.inFlight === 0) {
@@ -64,10 +65,10 @@
   }
 
   /**
-   * Notes the end of a request.
+   * Records the end of a request.
    *
-   * @param latencyMs time of a comparable unit of work: to the first token for
-   *   model engines, of the whole call for plain services.
+   * @param latencyMs time to the first token for model engines, time of the
+   *   whole call for plain services, so that latencies are comparable.
    */
   finish(outcome: UpstreamOutcome, latencyMs: number, nowMs: number): void {
     this.advanceHistory(nowMs);
@@ -76,8 +77,8 @@
     switch (outcome) {
       case 'answered':
         this.consecutiveFailures = 0;
-        // After a pause the new answer counts more than what went before, so
-        // that a few trials show that an upstream is sound again.
+        // After a pause a new sample weighs more than past ones, so that a few
+        // answers show that an upstream has recovered.
         this.latency.add(latencyMs, 1 - this.sampleWeightAt(nowMs));
         this.lastSampleMs = nowMs;
         break;
@@ -91,10 +92,10 @@
   }
 
   /**
-   * Takes in a report.
+   * Applies a load report, unless a later one has been applied.
    *
    * @param load requests at the upstream, from all entry instances.
-   * @param measuredMs when it was measured; reports come late.
+   * @param measuredMs when it was measured; reports arrive late.
    */
   report(load: number, measuredMs: number): void {
     if (measuredMs <= this.reportMs) {
@@ -106,12 +107,12 @@
     this.ownAtReport = this.ownAt(measuredMs);
   }
 
-  /** Load of the last report, and own requests there at that moment. */
+  /** Load of the last report, and own requests when it was measured. */
   get lastReport(): {readonly load: number; readonly own: number} {
     return {load: this.reportedLoad, own: this.ownAtReport};
   }
 
-  /** Whether the last report still counts. */
+  /** Whether the last report is recent enough to be used. */
   hasReport(nowMs: number): boolean {
     return nowMs - this.reportMs < REPORT_TTL_MS;
   }
@@ -119,14 +120,14 @@
   /**
    * Expected requests at the upstream from all entry instances.
    *
-   * @param loadScale requests of all instances for each own one.
+   * @param loadScale ratio of all instances' requests to own ones.
    */
   expectedLoad(loadScale: number, nowMs: number): number {
     const extrapolated = this.inFlight * loadScale;
     if (!this.hasReport(nowMs)) {
       return extrapolated;
     }
-    // The report is brought up to date by what this instance did since.
+    // Add what this instance started and finished since the report.
     const since = this.inFlight - this.ownAtReport;
     const corrected = Math.max(0, this.reportedLoad + since);
     return (1 - REPORT_WEIGHT) * extrapolated + REPORT_WEIGHT * corrected;
@@ -138,19 +139,20 @@
   }
 
   /**
-   * Latency to expect, relative to `usualMs`, at least that of a sound
-   * upstream that answers as usual.
+   * Expected latency relative to `typicalMs`; at least 1, the value of a
+   * healthy upstream.
    *
-   * - Failing fast looks like being quick: without the failures a broken
-   *   upstream would draw all requests.
-   * - A stalled upstream gives no samples: its silence counts instead.
+   * - Failures count as slowness: an upstream that fails fast would otherwise
+   *   look quick and attract all requests.
+   * - A stalled upstream gives no samples, so the time without an answer is
+   *   used instead.
    */
   slowness(typicalMs: number, nowMs: number): number {
     const measured = this.latency.hasSamples ? this.latency.mean : typicalMs;
     const exponent = Math.min(this.consecutiveFailures, MAX_FAILURE_EXPONENT);
     const excess = (measured / typicalMs) * 2 ** exponent - 1;
-    const remembered = excess > 0 ? 1 + excess * this.sampleWeightAt(nowMs) : 1;
-    return Math.max(remembered, this.stallSlowness(typicalMs, nowMs));
+    const decayed = excess > 0 ? 1 + excess * this.sampleWeightAt(nowMs) : 1;
+    return Math.max(decayed, this.stallSlowness(typicalMs, nowMs));
   }
 
   private sampleWeightAt(nowMs: number): number {
@@ -166,7 +168,7 @@
     return (quietMs * this.inFlight) / (STALL_ANSWERS * typicalMs);
   }
 
-  /** Brings the history up to `nowMs`. */
+  /** Fills the history with the present count up to `nowMs`. */
   private advanceHistory(nowMs: number): void {
     const step = Math.floor(nowMs / HISTORY_STEP_MS);
     const first = Math.max(this.historyStep, step - HISTORY_STEPS + 1);
--- a/packages/decisions/src/upstream-picker.ts
+++ b/packages/decisions/src/upstream-picker.ts
@@ -1,12 +1,13 @@
 /**
- * Picks an upstream for a try, from what one instance sees and hears.
+ * Picks an upstream for an attempt, from what one instance measures and what
+ * its peers report.
  *
- * Load: long prompts beside short ones, prompts that share their beginnings,
- * and upstreams of which some fail, hang or are slow while their health is
- * good. Harm prevented: queues behind a long prompt while others are idle,
- * shared beginnings read again everywhere, every instance finding out by its
- * own callers' loss that an upstream fails, and hundreds of instances that all
- * choose the upstream which looked idle when they heard of it last.
+ * Load: long prompts mixed with short ones, prompts with shared prefixes, and
+ * upstreams that fail, hang or are slow although their health checks pass.
+ * Harm prevented: queues behind a long prompt while other upstreams are idle,
+ * shared prefixes processed again by every upstream, each instance losing its
+ * own callers' requests before it learns that an upstream fails, and hundreds
+ * of instances all choosing the upstream that looked idle in the last report.
  */
 import * as engineTiers from './engine-tiers.js';
 import type * as pickRequest from './pick-request.js';
@@ -14,83 +15,89 @@
 import * as upstreamCost from './upstream-cost.js';
 import * as upstreamStats from './upstream-stats.js';
 
-/** Signs of one upstream. */
+/** Stats of one upstream, as instances report them to each other. */
 export type UpstreamReport = upstreamStats.UpstreamSnapshot & {
   readonly id: string;
 };
 
-/** How a try ended. */
+/** How an attempt ended. `refused` means that the upstream was full. */
 export type PickOutcome =
   'answered' | 'failed' | 'refused' | 'unreachable' | 'cancelled';
 
-/** A try in progress. */
+/** An attempt in progress. */
 export interface UpstreamAttempt {
-  /** The first byte of the answer has come. */
+  /** Records that the first byte of the answer has arrived. */
   readonly recordFirstByte: () => void;
   readonly end: (outcome: PickOutcome) => void;
 }
 
-/** Settings of a picker. */
+/** Options of an upstream picker. */
 export interface UpstreamPickerOptions {
-  /** Called when an upstream is left alone for a while, with what it showed. */
+  /** Called when an upstream is ejected, with its stats at that time. */
   readonly onEject: (
     id: string,
     ejectionMs: number,
     stats: upstreamStats.UpstreamSnapshot,
   ) => void;
+  /** Availability zone of this instance. */
   readonly zone: string;
+  /** Current time, in milliseconds. */
   readonly now: () => number;
   /** Uniform random numbers in [0, 1). */
   readonly random: () => number;
 }
 
 /**
- * Least upstreams among which the best is chosen, drawn anew for each try; half
- * of them lie in the instance's own zone. What others have sent in the last
- * half second is not known: the best of all would be the same one for every
- * instance in that time, the better of two is another one for each.
+ * Minimum number of upstreams compared for an attempt. They are drawn at random
+ * each time, half of them from the instance's own zone. Requests that other
+ * instances sent in the last half second are not known yet: in that time the
+ * best of all upstreams would be the same for every instance, while the better
+ * of two random ones differs between instances.
  */
 const MIN_SAMPLE_SIZE = 2;
 
-/** Upstreams of the other tier that are drawn beside them. */
+/** Number of upstreams of the other tier that are compared as well. */
 const OTHER_TIER_SAMPLE_SIZE = 1;
 
 /**
- * Time for which an instance's part in the work of all is kept, in
- * milliseconds; it changes as instances come and go.
+ * Time for which the computed traffic share is cached, in milliseconds. The
+ * share changes as instances join and leave.
  */
 const TRAFFIC_SHARE_TTL_MS = 1_000;
 
-/** Failures in a row after which an upstream is left alone for a while. */
+/** Consecutive failures after which an upstream is ejected. */
 const CONSECUTIVE_FAILURE_LIMIT = 3;
 
-/** Failures of the last seconds from which the rate tells something. */
+/** Minimum failures in the stats window for a meaningful failure rate. */
 const MIN_FAILURES_FOR_RATE = 3;
 
-/** Failure rate above the others' from which an upstream is left alone. */
+/** Excess over the failure rate of all upstreams that ejects an upstream. */
 const FAILURE_RATE_EXCESS = 0.25;
 
-/** How long an upstream is left alone, in milliseconds; doubles each time. */
+/**
+ * Duration of an ejection, in milliseconds. It doubles with each ejection, up
+ * to the maximum, until the upstream answers.
+ */
 const BASE_EJECTION_MS = 700;
 const MAX_EJECTION_MS = 5_000;
 
 interface UpstreamEntry {
   readonly id: string;
   readonly stats: upstreamStats.UpstreamStats;
-  /** Not picked before, unless nothing else is there. */
+  /** Until then the upstream is picked only if no other is available. */
   ejectedUntilMs: number;
   ejectionMs: number;
 }
 
-/** Picks upstreams for one instance. */
+/** Picks upstreams for one instance and keeps their stats. */
 export class UpstreamPicker {
   private readonly entries = new Map<string, UpstreamEntry>();
-  /** This instance's part in the work of all, and as of when. */
+  /** Cached traffic share of this instance, and when it was computed. */
   private trafficShare = {atMs: -Infinity, value: 0};
 
   constructor(private readonly options: UpstreamPickerOptions) {}
 
-  /** Forgets upstreams that are no longer there. */
+  /** Drops the stats of all upstreams that are not in `ids`. */
   retain(ids: ReadonlySet<string>): void {
     for (const id of this.entries.keys()) {
       if (!ids.has(id)) {
@@ -100,8 +107,8 @@
   }
 
   /**
-   * Of a few candidates that are drawn, and the home of the prompt's beginning,
-   * the one with the least cost; undefined where there is none.
+   * Returns the cheapest of a few random candidates and the home of the
+   * prompt's prefix; undefined if there are no candidates.
    */
   pick(
     candidates: readonly pickRequest.PickCandidate[],
@@ -119,7 +126,8 @@
     if (!best || !this.isNearlyFull(best, now)) {
       return best;
     }
-    // Few have room left: most draws would miss them.
+    // Few upstreams have room left, and a random sample would miss most of
+    // them.
     return this.findBest(tiers, request, home, now);
   }
 
@@ -149,7 +157,7 @@
     return upstreamCost.findCost(request, state, random);
   }
 
-  /** The cheapest of candidates of the own tier and of the other one. */
+  /** The cheapest candidate; those of the other tier pay a penalty. */
   private findBest(
     {own, other}: engineTiers.EngineTiers,
     request: pickRequest.PickRequest,
@@ -185,8 +193,9 @@
   }
 
   /**
-   * Some candidates, of the own zone first, and the home. An instance that
-   * sends most of all that is sent knows the rest well enough to look at most.
+   * Draws candidates, half of them from the own zone, and adds the prefix home.
+   * The sample grows with the instance's share of all traffic: an instance that
+   * sends most of the requests knows the load of most upstreams.
    */
   private drawOwn(
     candidates: readonly pickRequest.PickCandidate[],
@@ -199,16 +208,24 @@
       MIN_SAMPLE_SIZE,
       Math.ceil(trafficShare * candidates.length),
     );
-    const near = candidates.filter(candidate => candidate.zone === zone);
-    const drawn = sample.drawSample(near, Math.ceil(count / 2), random);
-    const others = candidates.filter(candidate => !drawn.includes(candidate));
-    const remaining = sample.drawSample(others, count - drawn.length, random);
-    const some = [...drawn, ...remaining];
-    const atHome = candidates.find(({id}) => id === home);
-    return !atHome || some.includes(atHome) ? some : [...some, atHome];
+    const local = candidates.filter(candidate => candidate.zone === zone);
+    const localSample = sample.drawSample(local, Math.ceil(count / 2), random);
+    const others = candidates.filter(
+      candidate => !localSample.includes(candidate),
+    );
+    const remaining = sample.drawSample(
+      others,
+      count - localSample.length,
+      random,
+    );
+    const drawn = [...localSample, ...remaining];
+    const homeCandidate = candidates.find(({id}) => id === home);
+    return !homeCandidate || drawn.includes(homeCandidate)
+      ? drawn
+      : [...drawn, homeCandidate];
   }
 
-  /** Part of all instances' requests that this one sends, 0 to 1. */
+  /** Fraction of all instances' requests that this one sends, 0 to 1. */
   private findTrafficShare(now: number): number {
     if (now - this.trafficShare.atMs < TRAFFIC_SHARE_TTL_MS) {
       return this.trafficShare.value;
@@ -223,12 +240,12 @@
     return this.trafficShare.value;
   }
 
-  /** Notes that a try begins. */
+  /** Records the start of an attempt. The caller has to end it. */
   start(id: string, request: pickRequest.PickRequest): UpstreamAttempt {
     const entry = this.entryOf(id);
     const {stats} = entry;
-    // A sum of fractions can end below 0 once all of them are taken away, and
-    // peers refuse a report of less than nothing.
+    // Adding and subtracting fractions can leave a sum slightly below 0, and
+    // peers refuse a report with a negative value.
     const promptTokens = Math.round(request.promptTokens);
     stats.inFlight++;
     stats.waitingTokens += promptTokens;
@@ -254,7 +271,7 @@
     };
   }
 
-  /** Weighted prompt tokens that wait at upstreams, of all instances. */
+  /** Weighted tokens of all instances' prompts waiting at these upstreams. */
   sumWaitingTokens(ids: readonly string[]): number {
     const now = this.options.now();
     return ids.reduce(
@@ -263,14 +280,15 @@
     );
   }
 
-  /** What is known of an upstream, for the log. */
+  /** Stats of an upstream over all instances, for the log. */
   describe(id: string): upstreamStats.UpstreamSnapshot {
     return this.entryOf(id).stats.total(this.options.now());
   }
 
   /**
-   * What this instance tells others of upstreams: its own signs, and those it
-   * heard from whom `counts` says.
+   * Reports to send to other instances: this instance's own stats, plus those
+   * reported by the instances that `includes` accepts. Idle upstreams are left
+   * out.
    */
   report(
     includes: (
@@ -286,7 +304,11 @@
     });
   }
 
-  /** Takes in what another instance told of itself, or of others as well. */
+  /**
+   * Merges the reports of another instance.
+   *
+   * @param scope whether they cover that instance alone or others as well.
+   */
   merge(
     instance: string,
     reports: readonly UpstreamReport[],
@@ -308,7 +330,7 @@
       case 'cancelled':
         return;
       case 'refused':
-        // Full, not broken: it is passed over until a slot may be free.
+        // The upstream is full, not broken: skip it until a slot may be free.
         entry.ejectedUntilMs = Math.max(
           entry.ejectedUntilMs,
           now + FULL_UPSTREAM_EJECTION_MS,
@@ -341,9 +363,9 @@
       answered += total.answered;
       failed += total.failed;
     }
-    const usual = failed / Math.max(1, answered + failed);
+    const meanRate = failed / Math.max(1, answered + failed);
     return (
-      own.failed / (own.answered + own.failed) > usual + FAILURE_RATE_EXCESS
+      own.failed / (own.answered + own.failed) > meanRate + FAILURE_RATE_EXCESS
     );
   }
 
@@ -373,5 +395,5 @@
 const countRequests = (stats: upstreamStats.UpstreamSnapshot): number =>
   stats.inFlight + stats.answered + stats.failed;
 
-/** How long a full upstream is passed over, in milliseconds. */
+/** Duration for which a full upstream is skipped, in milliseconds. */
 const FULL_UPSTREAM_EJECTION_MS = 40;
--- a/packages/decisions/src/upstream-stats.ts
+++ b/packages/decisions/src/upstream-stats.ts
@@ -1,34 +1,35 @@
 /**
- * What is known of how one upstream fares: requests in progress, answers and
- * failures of the last seconds, seen here or told by other instances. Pure.
+ * Load and outcome counts of one upstream: requests in progress, waiting
+ * prompts, recent answers and failures, measured by this instance or reported
+ * by others. The module reads no clock: time is an argument.
  */
 import * as slidingCount from './sliding-count.js';
 
-/** Time for which answers and failures count, in milliseconds. */
+/** Window in which answers and failures are counted, in milliseconds. */
 export const STATS_WINDOW_MS = 4_000;
 
-/** Time over which the work that is sent is averaged, in milliseconds. */
+/** Window over which the rate of sent prompt tokens is averaged, in ms. */
 const WORK_WINDOW_MS = 2_000;
 
 const MS_PER_S = 1_000;
 
-/** Time for which what another instance told counts, in milliseconds. */
+/** Age at which another instance's report is dropped, in milliseconds. */
 const PEER_REPORT_TTL_MS = 1_500;
 
-/** What another instance saw. */
+/** Stats of one upstream at one time. */
 export interface UpstreamSnapshot {
   readonly inFlight: number;
-  /** Weighted tokens of prompts whose answers have not begun. */
+  /** Weighted tokens of prompts whose first byte has not arrived. */
   readonly waitingTokens: number;
-  /** Weighted prompt tokens sent in the last seconds, a second. */
+  /** Recent rate of weighted prompt tokens sent, per second. */
   readonly tokensPerS: number;
   readonly answered: number;
   readonly failed: number;
 }
 
 /**
- * Of whom another instance told: of itself, or of all that report to it as
- * well.
+ * What a report covers: the requests of its sender alone, or those of the
+ * instances that report to the sender as well.
  */
 export type ReportScope = 'itself' | 'others';
 
@@ -37,37 +38,37 @@
   readonly atMs: number;
 }
 
-/** Signs of one upstream. */
+/** Counts one upstream's requests and merges the reports of peers. */
 export class UpstreamStats {
   /** Own requests in progress. */
   inFlight = 0;
-  /** Weighted prompt tokens of own requests without a first byte yet. */
+  /** Weighted prompt tokens of own requests that wait for their first byte. */
   waitingTokens = 0;
-  /** Failures since the last good answer. */
+  /** Failures since the last successful answer. */
   consecutiveFailures = 0;
   private readonly answered = new slidingCount.SlidingCount(STATS_WINDOW_MS);
   private readonly failed = new slidingCount.SlidingCount(STATS_WINDOW_MS);
   private readonly sent = new slidingCount.SlidingSum(WORK_WINDOW_MS);
   private readonly peerReports = new Map<string, PeerReport>();
 
-  /** Notes the weighted tokens of a prompt that is sent. */
+  /** Records the weighted tokens of a prompt that is sent. */
   recordPrompt(tokens: number, nowMs: number): void {
     this.sent.add(tokens, nowMs);
   }
 
-  /** Notes a good answer. */
+  /** Records a successful answer. */
   recordAnswer(nowMs: number): void {
     this.consecutiveFailures = 0;
     this.answered.add(nowMs);
   }
 
-  /** Notes an answer that failed, broke off or did not come. */
+  /** Records an answer that failed, was cut off or never arrived. */
   recordFailure(nowMs: number): void {
     this.consecutiveFailures++;
     this.failed.add(nowMs);
   }
 
-  /** Takes in what another instance told. */
+  /** Replaces the last report of another instance by this one. */
   merge(
     instance: string,
     snapshot: UpstreamSnapshot,
@@ -77,7 +78,7 @@
     this.peerReports.set(instance, {...snapshot, scope, atMs: nowMs});
   }
 
-  /** What this instance tells. */
+  /** Stats of this instance's own requests. */
   own(nowMs: number): UpstreamSnapshot {
     return {
       inFlight: this.inFlight,
@@ -88,7 +89,10 @@
     };
   }
 
-  /** Own signs and those heard of lately, added up, from whom `counts` says. */
+  /**
+   * Sum of the own stats and the recent reports of the instances that
+   * `includes` accepts; by default all.
+   */
   total(
     nowMs: number,
     includes: (instance: string, scope: ReportScope) => boolean = () => true,
--- a/packages/decisions/src/warm-up.ts
+++ b/packages/decisions/src/warm-up.ts
@@ -1,96 +1,99 @@
 /**
- * Shares out the little that a cold upstream bears among all entry instances.
+ * Grants the slots of a cold upstream to entry instances.
  *
- * Load: an upstream in cold start that every one of a thousand instances
- * would like to use. Harm prevented: each sending the little that one may,
- * which together makes the upstream fall over. One instance issues grants for
- * an upstream, the one that ranks first for it; a grant is a number of slots
- * for a short term, and the slots issued never add up to more than the
- * upstream bears.
+ * Load: a thousand instances want to use an upstream during its cold start.
+ * Harm prevented: each instance uses the whole small capacity, and together
+ * they make the upstream fail. One instance issues the grants for an upstream:
+ * the one that ranks first for it. A grant is a number of slots for a short
+ * term, and the granted slots never exceed the upstream's capacity.
  */
 import * as rendezvous from './rendezvous.js';
 
-/** What an upstream bears while it warms up. */
+/** Capacity of an upstream while it warms up. It grows linearly with time. */
 export interface WarmUpCurve {
-  /** Work at once that the cold upstream bears, at least 1. */
+  /** Concurrent requests when cold, at least 1. */
   readonly coldSlots: number;
-  /** Work at once when warm. */
+  /** Concurrent requests when warm. */
   readonly fullSlots: number;
   /** Time from cold to warm, in milliseconds. */
   readonly warmMs: number;
 }
 
-/** Times that instances agree on, in milliseconds. */
+/** Times that all instances have to agree on, in milliseconds. */
 export interface WarmUpTiming {
-  /** How long a grant allows new work to start. */
+  /** Time for which a grant allows new requests to start. */
   readonly termMs: number;
-  /** How long work that a grant started may last after the grant's end. */
+  /** Maximum time that requests may run after the end of their grant. */
   readonly drainMs: number;
-  /** How late an instance may learn of another's coming or leaving. */
+  /** Maximum delay until an instance learns that another joined or left. */
   readonly viewLagMs: number;
 }
 
-/** Named defaults: a term is two round trips and a pause; work is cut off. */
+/**
+ * Default times. The term allows for two round trips and a pause. Requests that
+ * outlast the drain are cut off.
+ */
 export const WARM_UP_TIMING: WarmUpTiming = {
   termMs: 1_000,
   drainMs: 10_000,
   viewLagMs: 3_000,
 };
 
-/** Slots issued to one instance. */
+/** A grant as its issuer keeps it. */
 export interface IssuedGrant {
+  /** Id of the instance that holds the grant. */
   readonly instance: string;
   readonly slots: number;
-  /** Work that the instance had in progress when it asked. */
+  /** Requests that the instance had in progress when it asked. */
   readonly inFlight: number;
-  /** When new work on the grant ends. */
+  /** Time until which new requests may start. */
   readonly endsAtMs: number;
-  /** Until then its slots are kept from others. */
+  /** Time until which its slots are not granted to others. */
   readonly heldUntilMs: number;
 }
 
-/** What the issuer knows of one upstream. */
+/** State of the issuer of one upstream's grants. */
 export interface WarmUpIssuer {
   readonly coldSinceMs: number;
-  /** Until then an earlier issuer's grants may be in use. */
+  /** Until then nothing is granted: an earlier issuer's grants may be used. */
   readonly quietUntilMs: number;
   readonly grants: readonly IssuedGrant[];
 }
 
-/** An instance asks for slots. */
+/** Request of an instance for slots. */
 export interface GrantRequest {
   readonly instance: string;
   readonly wanted: number;
   readonly inFlight: number;
 }
 
-/** Answer to a request: slots for `termMs` from when the request was sent. */
+/** Answer to a request: slots for `termMs`, from when the request was sent. */
 export interface Grant {
   readonly slots: number;
   readonly termMs: number;
 }
 
-/** Work at once that an upstream bears, cold for `ageMs`. */
+/** Concurrent requests that an upstream can take `ageMs` after a cold start. */
 export const findWarmUpSlots = (curve: WarmUpCurve, ageMs: number): number => {
   const progress = Math.min(1, Math.max(0, ageMs / curve.warmMs));
   const grown = (curve.fullSlots - curve.coldSlots) * progress;
   return Math.floor(curve.coldSlots + grown);
 };
 
-/** What an instance believes about the others. */
+/** The other instances as one instance knows them. */
 export interface MembershipView {
-  /** Live instances, this one included. */
+  /** Live instances, including this one. */
   readonly instances: readonly string[];
-  /** When the view was last confirmed, by the platform or most peers. */
+  /** When the platform or most peers last confirmed the view. */
   readonly confirmedAtMs: number;
-  /** Since when this instance is a member. */
+  /** When this instance became a member. */
   readonly memberSinceMs: number;
 }
 
 /**
- * Whether `self` may issue grants for an upstream. An instance that nobody
- * may know yet, or whose view is old, doesn't: another could believe itself
- * first at the same time, and both would issue the whole bound.
+ * Whether `self` may issue grants for an upstream. An instance that others may
+ * not know yet, or whose view is old, may not: another one could rank itself
+ * first at the same time, and both would grant the whole capacity.
  */
 export const mayIssueGrants = (
   upstream: string,
@@ -109,8 +112,9 @@
 };
 
 /**
- * An issuer that has just become first. It keeps quiet while the one before
- * it may still issue (a view's lag), and its grants be used and drained.
+ * Creates an issuer that takes over from another one. It grants nothing while
+ * the earlier issuer may still issue (the view lag), and until the last of its
+ * grants has ended and drained.
  */
 export const createSuccessorIssuer = (
   coldSinceMs: number,
@@ -122,14 +126,17 @@
   grants: [],
 });
 
-/** The same, for an upstream that nobody can have sent work to before. */
+/** Creates an issuer for an upstream that has not received any requests. */
 export const createInitialIssuer = (coldSinceMs: number): WarmUpIssuer => ({
   coldSinceMs,
   quietUntilMs: coldSinceMs,
   grants: [],
 });
 
-/** Slots kept from others, by instance: its largest grant that may be used. */
+/**
+ * Sum of the slots that instances may use. Each counts with the largest of its
+ * grants and of its requests in progress.
+ */
 const sumHeld = (grants: readonly IssuedGrant[]): number => {
   const held = new Map<string, number>();
   for (const {instance, slots, inFlight} of grants) {
@@ -140,16 +147,17 @@
 };
 
 /**
- * An earlier grant of an instance that asked again. The answer may be lost or
- * late, and work be started on the earlier grant until its end, unseen before
- * the next request: a smaller new grant frees nothing until then.
+ * Shortens the hold of an earlier grant when its instance asks again. The
+ * answer may be lost or late: until the earlier grant ends, requests may start
+ * on it, which the issuer sees only with the next request for slots. So a
+ * smaller new grant frees no slots until then.
  */
 const supersede = (grant: IssuedGrant, termMs: number): IssuedGrant => ({
   ...grant,
   heldUntilMs: Math.min(grant.heldUntilMs, grant.endsAtMs + termMs),
 });
 
-/** Answers a request for slots, replacing the instance's earlier grant. */
+/** Answers a request for slots; replaces the instance's earlier grant. */
 export const issueGrant = (
   issuer: WarmUpIssuer,
   request: GrantRequest,
@@ -166,16 +174,17 @@
   const others = held.filter(grant => grant.instance !== request.instance);
   const holders = new Set(others.map(grant => grant.instance));
   const capacity = findWarmUpSlots(curve, nowMs - issuer.coldSinceMs);
-  const fair = Math.max(1, Math.ceil(capacity / (holders.size + 1)));
+  const fairShare = Math.max(1, Math.ceil(capacity / (holders.size + 1)));
   const free = Math.max(0, capacity - sumHeld(others));
   const isQuiet = nowMs < issuer.quietUntilMs;
-  const slots = isQuiet ? 0 : Math.min(request.wanted, free, fair);
+  const slots = isQuiet ? 0 : Math.min(request.wanted, free, fairShare);
   const issued = {
     instance: request.instance,
     slots,
     inFlight: request.inFlight,
     endsAtMs: nowMs + termMs,
-    // Its instance may be cut off with work in progress until the drain ends.
+    // The instance may become unreachable with requests in progress, which end
+    // with the drain at the latest.
     heldUntilMs: nowMs + termMs + drainMs,
   };
   const isEmpty = slots === 0 && request.inFlight === 0;
@@ -186,8 +195,8 @@
 };
 
 /**
- * Cold again: slots are issued as from the start. Grants in use are counted
- * until they end, so that nothing is issued before they fit.
+ * Restarts the warm-up of an upstream that is cold again. Grants in use still
+ * count until they end, so nothing is granted while they exceed the capacity.
  */
 export const resetIssuer = (
   issuer: WarmUpIssuer,
@@ -201,7 +210,7 @@
   readonly endsAtMs: number;
 }
 
-/** Whether a holder may start one more piece of work. */
+/** Whether the holder of a grant may start one more request. */
 export const mayStartOnGrant = (
   grant: HeldGrant | undefined,
   inFlight: number,
@@ -210,8 +219,8 @@
   grant !== undefined && nowMs < grant.endsAtMs && inFlight < grant.slots;
 
 /**
- * Whether an instance should ask for slots at all: as many as the upstream
- * will bear, by rank, so that a thousand instances don't all ask one.
+ * Whether an instance should ask for slots. Only as many as the warm upstream
+ * has slots do, by rank, so that a thousand instances don't all ask the issuer.
  */
 export const mayRequestGrants = (
   upstream: string,
--- a/packages/decisions/src/zone-policy.ts
+++ b/packages/decisions/src/zone-policy.ts
@@ -1,18 +1,20 @@
 /**
- * Availability zones that operators take out and bring back.
+ * Weights of availability zones that operators take out of service and bring
+ * back.
  *
- * Load: a zone's third of all work, moved within seconds and back. Harm
- * prevented: new work in a zone that is out; a stampede on its return, when
- * every instance would send its share at once to upstreams whose caches are
- * cold; sessions and caches moved twice for an absence of seconds.
+ * Load: a zone's third of all requests moves to other zones within seconds, and
+ * back later. Harm prevented: new requests in a zone that is out; a stampede on
+ * its return, when every instance would at once send its full share to
+ * upstreams with cold caches; sessions and caches that move twice for an
+ * absence of seconds.
  */
 
-/** A zone as one instance sees it. Plain JSON. */
+/** State of a zone on one instance. Can be serialized as JSON. */
 export interface ZoneStatus {
   readonly state: 'in' | 'out';
-  /** When this state came into force here, in milliseconds. */
+  /** When this state became active on this instance, in milliseconds. */
   readonly sinceMs: number;
-  /** How long the zone was out before it came in; 0 if it never was. */
+  /** How long the zone was out before it came back, in ms; 0 if never out. */
   readonly absenceMs: number;
 }
 
@@ -20,15 +22,16 @@
 export interface ZoneTiming {
   /** Absence after which sessions and caches move to other zones. */
   readonly graceMs: number;
-  /** Ramp after an absence beyond the grace time. */
+  /** Length of the ramp after an absence longer than the grace time. */
   readonly rampMs: number;
-  /** Ramp after a shorter one: caches are still warm. */
+  /** Length of the ramp after a shorter absence, when caches are still warm. */
   readonly shortRampMs: number;
 }
 
 /**
- * Named defaults. Grace: a planned restart of a rack's switch takes a minute
- * or so. Ramp: the time that an engine takes to fill its prefix cache.
+ * Default times. The grace time covers the planned restart of a rack's switch,
+ * which takes about a minute. The ramp is the time in which an engine fills its
+ * prefix cache.
  */
 export const ZONE_TIMING: ZoneTiming = {
   graceMs: 120_000,
@@ -36,14 +39,14 @@
   shortRampMs: 15_000,
 };
 
-/** A zone that has always been in. */
+/** Status of a zone that was never out. */
 export const ZONE_IN: ZoneStatus = {
   state: 'in',
   sinceMs: Number.NEGATIVE_INFINITY,
   absenceMs: 0,
 };
 
-/** Takes in the configured state of a zone. */
+/** Applies the configured state of a zone; the same state changes nothing. */
 export const setZoneState = (
   status: ZoneStatus,
   state: ZoneStatus['state'],
@@ -57,8 +60,9 @@
 };
 
 /**
- * Weight, 0 to 1, of the zone's upstreams in placement: 0 while out, then
- * growing evenly, so that its load grows no faster than its caches fill.
+ * Weight of the zone's upstreams in placement, from 0 to 1. It is 0 while the
+ * zone is out, and then grows linearly, so that load grows no faster than the
+ * caches fill.
  */
 export const findZoneWeight = (
   status: ZoneStatus,
@@ -77,9 +81,9 @@
 };
 
 /**
- * Whether sessions and caches whose home is in the zone keep it: their
- * requests go elsewhere while the zone is out, but homes are only given up
- * after the grace time.
+ * Whether sessions and caches in the zone keep their home there. While the zone
+ * is out, their requests go to other zones, but their home moves only after the
+ * grace time.
  */
 export const keepsHome = (
   status: ZoneStatus,
--- a/packages/decisions/tests/choose-addresses.test.ts
+++ b/packages/decisions/tests/choose-addresses.test.ts
@@ -2,12 +2,12 @@
 import * as decisions from '@amaranthknot/decisions';
 import * as fakes from '@amaranthknot/fakes';
 
-/** Addresses that one answer can name. */
+/** Maximum number of addresses in one answer. */
 const LIMIT = 64;
 
 interface FleetCase {
   readonly name: string;
-  /** Instances of each zone. */
+  /** Number of instances in each zone. */
   readonly zones: readonly number[];
 }
 
@@ -29,7 +29,7 @@
   key: `10.9.${zone}.${index}`,
 });
 
-/** Requests by instance, of callers that draw one of what they are named. */
+/** Requests by instance, from callers that choose a listed one at random. */
 const countRequests = (
   fleet: readonly decisions.DirectoryCandidate[],
   zones: number,
@@ -39,9 +39,9 @@
   for (let zone = 0; zone < zones; zone++) {
     for (let index = 0; index < 500; index++) {
       const caller = createCaller(zone, index);
-      const named = decisions.chooseAddresses(fleet, caller, LIMIT);
+      const listed = decisions.chooseAddresses(fleet, caller, LIMIT);
       for (let draw = 0; draw < 20; draw++) {
-        const {id = ''} = named[Math.floor(random() * named.length)] ?? {};
+        const {id = ''} = listed[Math.floor(random() * listed.length)] ?? {};
         counts.set(id, (counts.get(id) ?? 0) + 1);
       }
     }
@@ -49,7 +49,7 @@
   return counts;
 };
 
-describe('addresses for a caller', () => {
+describe('chooseAddresses', () => {
   const fleets: readonly FleetCase[] = [
     {name: '7 in three zones', zones: [3, 2, 2]},
     {name: '73 in three zones', zones: [25, 24, 24]},
@@ -57,9 +57,9 @@
     {name: '1,000 in nine zones', zones: Array(9).fill(111) as number[]},
   ];
   for (const {name, zones} of fleets) {
-    it(`bring each of ${name} its part`, () => {
-      // The same 64 instances were named to all, and took two thirds of all
-      // requests of 195.
+    it(`spreads callers over all instances: ${name}`, () => {
+      // When all callers were given the same 64 of 195 instances, these took
+      // two thirds of all requests.
       const counts = [
         ...countRequests(createFleet(zones), zones.length).values(),
       ];
@@ -70,15 +70,15 @@
     });
   }
 
-  it('are those of its own zone where that has enough', () => {
+  it("lists only the caller's zone if that has enough instances", () => {
     const fleet = createFleet([30, 30, 30]);
-    const named = decisions.chooseAddresses(fleet, createCaller(1), LIMIT);
-    chai.expect(named.map(({zone}) => zone)).eql(Array(30).fill('zone-1'));
+    const listed = decisions.chooseAddresses(fleet, createCaller(1), LIMIT);
+    chai.expect(listed.map(({zone}) => zone)).eql(Array(30).fill('zone-1'));
   });
 
-  it('are the same at each instance, in whatever order it knows them', () => {
-    // A caller drops its connections to instances that a new answer leaves
-    // out.
+  it('does not depend on the order of the candidates', () => {
+    // Instances know each other in different orders. A caller closes its
+    // connections to instances that a later answer no longer lists.
     const fleet = createFleet([100, 100]);
     const caller = createCaller(0, 3);
     const idsOf = (known: readonly decisions.DirectoryCandidate[]) =>
@@ -89,7 +89,7 @@
     chai.expect(idsOf([...fleet].reverse())).eql(idsOf(fleet));
   });
 
-  it('change by one where one instance is lost', () => {
+  it('replaces one address when one instance is lost', () => {
     const fleet = createFleet([100, 100]);
     const caller = createCaller(0, 3);
     const before = decisions.chooseAddresses(fleet, caller, LIMIT);
@@ -100,8 +100,8 @@
     chai.expect(kept).length(LIMIT - 1);
   });
 
-  it('are of other zones too where a zone has lost most of its own', () => {
-    // All callers of a zone were sent to the two instances that it had left.
+  it('adds other zones when a zone has lost most of its instances', () => {
+    // Otherwise all callers of the zone go to the two instances that remain.
     const fleet = createFleet([30, 30, 30]);
     const left = fleet.filter(
       ({id, zone}) => zone !== 'zone-0' || /-[12]$/.test(id),
@@ -111,19 +111,19 @@
     chai.expect(Math.max(...counts.values())).below(2.5 * mean);
   });
 
-  it('are of the whole fleet where that is small', () => {
+  it('lists the whole fleet if that is small', () => {
     const fleet = createFleet([2, 2, 1, 1]);
-    const named = decisions.chooseAddresses(fleet, createCaller(3), LIMIT);
-    chai.expect(named).length(6);
+    const listed = decisions.chooseAddresses(fleet, createCaller(3), LIMIT);
+    chai.expect(listed).length(6);
   });
 
-  it('are of its region as long as that has any', () => {
+  it("lists only the caller's region unless that has no instances", () => {
     const fleet = createFleet([3, 40]).map(found => ({
       ...found,
       region: found.zone === 'zone-0' ? 'north' : 'south',
     }));
-    const named = decisions.chooseAddresses(fleet, createCaller(0), LIMIT);
-    chai.expect(named.map(({region}) => region)).eql(Array(3).fill('north'));
+    const listed = decisions.chooseAddresses(fleet, createCaller(0), LIMIT);
+    chai.expect(listed.map(({region}) => region)).eql(Array(3).fill('north'));
     const south = fleet.filter(({region}) => region === 'south');
     chai
       .expect(decisions.chooseAddresses(south, createCaller(0), LIMIT))
--- a/packages/decisions/tests/cold-share.test.ts
+++ b/packages/decisions/tests/cold-share.test.ts
@@ -7,7 +7,7 @@
 const createNames = (count: number): readonly string[] =>
   Array.from({length: count}, (_, i) => `instance-${i}`);
 
-/** Time after which an instance has long heard of all others, in ms. */
+/** Uptime after which an instance knows all others, in ms. */
 const SETTLED_MS = 60_000;
 
 const sumShares = (
@@ -21,18 +21,18 @@
     )
     .reduce((sum, share) => sum + share, 0);
 
-describe('share of a cold upstream', () => {
+describe('findColdShare', () => {
   [1, 2, 6, 7, 13, 14, 30, 90, 300, 1_000].forEach(count => {
-    it(`adds up to less than is borne with ${count} instances`, () => {
+    it(`keeps the sum within the capacity for ${count} instances`, () => {
       const names = createNames(count);
       const sum = sumShares(names, () => names);
       chai.expect(sum).within(1, CAPACITY);
     });
   });
 
-  it('still does while one instance in ten is not known to the others', () => {
+  it('keeps the sum within the capacity when one in ten is unknown', () => {
     // A zone's upstreams come back cold while instances are being added: the
-    // newcomers know everybody, the others do not know them yet.
+    // new instances know all others, which do not know them yet.
     const known = createNames(90);
     const newcomers = createNames(100).slice(90);
     const all = [...known, ...newcomers];
@@ -43,13 +43,13 @@
   });
 
   [
-    {name: 'each knows itself alone', uptimeMs: 200},
-    {name: 'they have just heard of each other', uptimeMs: 2_500},
+    {name: 'each knows only itself', uptimeMs: 200},
+    {name: 'they have just learned of each other', uptimeMs: 2_500},
   ].forEach(({name, uptimeMs}) => {
-    it(`adds up to less when all have started again and ${name}`, () => {
-      // All instances are killed while a zone's upstreams come back cold. Each
-      // starts without knowing of another, takes the whole for itself, and a
-      // cold upstream got 39 requests in a second where it bears 35.
+    it(`keeps the sum within the capacity after a restart when ${name}`, () => {
+      // All instances restarted while a zone's upstreams came back cold. Each
+      // knew only itself and used the whole capacity: a cold upstream got 39
+      // requests in a second with a capacity of 35.
       const names = createNames(7);
       const sum = sumShares(names, self => [self], uptimeMs);
       chai.expect(sum).within(1, CAPACITY);
--- a/packages/decisions/tests/latency-estimates.test.ts
+++ b/packages/decisions/tests/latency-estimates.test.ts
@@ -10,21 +10,21 @@
   }
 };
 
-describe('latency book', () => {
-  it('waits for three times the usual', () => {
+describe('LatencyEstimates', () => {
+  it('hedges after three times the typical latency', () => {
     const estimates = new decisions.LatencyEstimates();
     recordMany(estimates, 40);
     chai.expect(estimates.hedgeDelayMs('kind', 300)).closeTo(120, 5);
   });
 
-  it('does not try twice sooner than a part of the target', () => {
+  it('does not hedge before the minimum fraction of the target', () => {
     const estimates = new decisions.LatencyEstimates();
     recordMany(estimates, 1);
     chai.expect(estimates.hedgeDelayMs('kind', 200)).equal(60);
   });
 
-  it('waits longer when all answers take long', () => {
-    // Every upstream is slow: requests sent twice would double the load that
+  it('hedges later when all answers are slow', () => {
+    // When every upstream is slow, hedging early would double the load that
     // made them slow.
     const estimates = new decisions.LatencyEstimates();
     recordMany(estimates, 500);
@@ -32,8 +32,8 @@
   });
 });
 
-describe('sliding count', () => {
-  it('counts what lies within the window', () => {
+describe('SlidingCount', () => {
+  it('counts the events within the window', () => {
     const count = new decisions.SlidingCount(1_000);
     [0, 100, 900, 1_050].forEach(atMs => {
       count.add(atMs);
--- a/packages/decisions/tests/placement.test.ts
+++ b/packages/decisions/tests/placement.test.ts
@@ -35,7 +35,7 @@
   return placement;
 };
 
-/** Places requests and leaves them running; counts them by upstream. */
+/** Places requests without finishing them; counts them by upstream. */
 const placeMany = (
   placement: decisions.Placement,
   count: number,
@@ -54,7 +54,7 @@
   return counts;
 };
 
-/** Answers requests at each upstream in turn, each after its own latency. */
+/** Finishes requests at each upstream with its given latency. */
 const answerAll = (
   placement: decisions.Placement,
   latencyMs: (id: string) => number,
@@ -91,7 +91,7 @@
     },
   ];
   for (const {name, request, reason} of unplaced) {
-    it(`answers ${reason} for ${name}`, () => {
+    it(`returns ${reason} for ${name}`, () => {
       const placement = createPlacement(createCandidates(4, ['a', 'b']));
       chai
         .expect(placement.choose(request, 0))
@@ -99,7 +99,7 @@
     });
   }
 
-  it('keeps to its own zone while that has room', () => {
+  it('uses only its own zone while that has room', () => {
     const placement = createPlacement(createCandidates(8, ['a', 'b']));
     const ids = [...placeMany(placement, 4 * 13).keys()];
     chai.expect(ids.every(id => Number(id.slice(-1)) % 2 === 0)).equal(true);
@@ -110,9 +110,9 @@
     chai.expect(placeMany(placement, 4 * SLOTS * 2).size).equal(8);
   });
 
-  // Operators take a zone out, and its upstreams still get work by affinity.
-  // Cause: the exclusion was looked at on one of two ways to choose.
-  it('never uses an excluded zone or upstream, by no way to choose', () => {
+  // Upstreams of an excluded zone got requests by affinity, because only one
+  // of the two ways to choose checked the exclusion.
+  it('never uses an excluded zone or upstream, even by affinity', () => {
     const placement = createPlacement(createCandidates(9, ['a', 'b', 'c']));
     const excludedZones = new Set(['a']);
     const accepts = (id: string) => id !== 'upstream-1';
@@ -126,16 +126,16 @@
     }
   });
 
-  // One upstream turns slow and every eighth caller waits ten times as long.
-  // Cause: it looks as idle as before while nothing comes back from it.
-  it('leaves a slow upstream alone', () => {
+  // A slow upstream looked as idle as the others, and every eighth caller
+  // waited ten times as long.
+  it('avoids a slow upstream', () => {
     const placement = createPlacement(createCandidates(8));
     answerAll(placement, id => (id === 'upstream-3' ? 5000 : 500), 0);
     const counts = placeMany(placement, 64);
     chai.expect(counts.get('upstream-3') ?? 0).at.most(1);
   });
 
-  it('leaves an upstream alone from which no answer comes', () => {
+  it('avoids an upstream that does not answer', () => {
     const placement = createPlacement(createCandidates(8));
     answerAll(placement, () => 500, 0);
     placement.start('upstream-3', 0);
@@ -144,9 +144,9 @@
     chai.expect(counts.get('upstream-3') ?? 0).at.most(1);
   });
 
-  // A broken upstream answers with errors at once, so that it has no requests
-  // in flight and draws all of them. Cause: quick failures looked like speed.
-  it('leaves an upstream alone that fails fast', () => {
+  // A broken upstream that returns errors at once has no requests in flight,
+  // looked fast and attracted all requests.
+  it('avoids an upstream that fails fast', () => {
     const placement = createPlacement(createCandidates(8));
     answerAll(placement, () => 500, 0);
     for (let i = 0; i < 5; i++) {
@@ -164,9 +164,9 @@
     chai.expect(counts.get('upstream-3')).at.least(4);
   });
 
-  // After each report one upstream gets all requests of all instances until
-  // the next one. Cause: everyone saw the same low load and went there.
-  it('makes no herd of 50 instances after a report', () => {
+  // All instances saw the same low load in a report and sent all their requests
+  // to that upstream until the next report.
+  it('does not send all of 50 instances to one upstream after a report', () => {
     const candidates = createCandidates(8);
     const counts = new Map<string, number>();
     for (let i = 0; i < 50; i++) {
@@ -179,11 +179,11 @@
         counts.set(id, (counts.get(id) ?? 0) + count);
       }
     }
-    // Of 400 requests each would get 50; it lacked 30.
+    // An even share of 400 requests is 50; its reported load was 30 lower.
     chai.expect(counts.get('upstream-3')).within(50, 50 + 2 * 30);
   });
 
-  it('takes no report older than the last one', () => {
+  it('ignores a report older than the last one', () => {
     const placement = createPlacement(createCandidates(1));
     placement.report('upstream-0', 10, 2000);
     placement.report('upstream-0', 99, 1000);
@@ -199,26 +199,26 @@
     chai.expect(new Set(chosen).size).equal(1);
   });
 
-  it('spreads a prefix that all requests share', () => {
+  it('spreads a prefix that all requests share over several upstreams', () => {
     const placement = createPlacement(createCandidates(8));
     const counts = placeMany(placement, 80, {affinityKey: 'prefix'});
     chai.expect(Math.max(...counts.values())).at.most(2 * 10);
   });
 
-  it('gives a prefix as many homes as its requests fill', () => {
+  it('gives a prefix as many homes as its requests need', () => {
     const loads = createCandidates(8).map(
       ({id, zone, slots}) => new decisions.UpstreamLoad(id, zone, slots),
     );
     const options = {instanceId: 'entry-0', zone: 'a', subsetSize: 8};
     const pool = new decisions.PlacementPool('a', loads, options);
     for (let i = 0; i < 500; i++) {
-      pool.homeCount(i % 2 === 0 ? 'hot' : `cold-${i}`);
+      pool.recordKey(i % 2 === 0 ? 'hot' : `cold-${i}`);
     }
-    chai.expect(pool.homeCount('hot')).within(5, 6);
-    chai.expect(pool.homeCount('cold-1')).equal(1);
+    chai.expect(pool.recordKey('hot')).within(5, 6);
+    chai.expect(pool.recordKey('cold-1')).equal(1);
   });
 
-  it('keeps what it knows of upstreams that stay', () => {
+  it('keeps the state of upstreams that remain candidates', () => {
     const placement = createPlacement(createCandidates(8));
     answerAll(placement, id => (id === 'upstream-3' ? 5000 : 500), 0);
     placement.setCandidates(createCandidates(7));
@@ -227,7 +227,7 @@
     chai.expect(counts.has('upstream-7')).equal(false);
   });
 
-  it('watches a small part of a large deployment', () => {
+  it('watches a small subset of a large deployment', () => {
     const zones = Array.from({length: 9}, (_, i) => (i ? `zone-${i}` : 'a'));
     const candidates = createCandidates(3600, zones).map((candidate, i) => ({
       ...candidate,
@@ -239,7 +239,7 @@
 });
 
 describe('HashRing', () => {
-  it('moves only keys of a member that leaves', () => {
+  it('moves only the keys of a member that leaves', () => {
     const ids = createCandidates(50).map(candidate => candidate.id);
     const before = new decisions.HashRing(ids);
     const after = new decisions.HashRing(ids.slice(0, -1));
@@ -250,17 +250,17 @@
     }
   });
 
-  it('answers with no member when there is none', () => {
+  it('returns no members for an empty ring', () => {
     chai.expect(new decisions.HashRing([]).lookUp('key')).deep.equal([]);
   });
 });
 
 describe('HotKeys', () => {
   const cases = [
-    {name: 'a frequent key', share: 0.5, least: 0.4, most: 0.55},
-    {name: 'a rare key', share: 0.002, least: 0, most: 0.05},
+    {name: 'a frequent key', share: 0.5, min: 0.4, max: 0.55},
+    {name: 'a rare key', share: 0.002, min: 0, max: 0.05},
   ];
-  for (const {name, share, least, most} of cases) {
+  for (const {name, share, min, max} of cases) {
     it(`estimates the share of ${name}`, () => {
       const random = createRandom();
       const keys = new decisions.HotKeys();
@@ -268,7 +268,7 @@
         const other = `key-${Math.floor(random() * 500)}`;
         keys.record(random() < share ? 'key' : other);
       }
-      chai.expect(keys.record('key')).within(least, most);
+      chai.expect(keys.record('key')).within(min, max);
     });
   }
 });
--- a/packages/decisions/tests/prefill-backlog.test.ts
+++ b/packages/decisions/tests/prefill-backlog.test.ts
@@ -14,13 +14,13 @@
   return backlog;
 };
 
-describe('backlog of prompts', () => {
-  it('is nothing while the speed of engines is not known', () => {
+describe('PrefillBacklog', () => {
+  it('returns no wait while the prefill speed is unknown', () => {
     chai.expect(learn([]).waitMs(1_000_000, 1, NOW_MS)).equal(0);
     chai.expect(learn([[200, 150]]).waitMs(1_000_000, 1, NOW_MS)).equal(0);
   });
 
-  it('is told by the fastest read of late, shared by all engines', () => {
+  it('estimates the wait from the fastest prefill and all engines', () => {
     const backlog = learn([
       [1_000, 200],
       [10_000, 300],
@@ -31,11 +31,11 @@
     chai.expect(backlog.waitMs(100_000, 4, NOW_MS)).closeTo(oneMs / 4, 1e-9);
   });
 
-  it('does not call engines full whose first answers came slowly', () => {
-    // An instance has just started. The first prompts that it sends are short
-    // or meet others, and take five times as long as reading does. Taken for
-    // the engines' speed, that made the capable model a hundred times as dear
-    // while nobody waited: for eight seconds weak answers were passed on.
+  it('finds no scarcity after slow first samples on idle engines', () => {
+    // The first prompts of a new instance are short or wait behind others, and
+    // take five times their prefill time. Used as the engines' speed, this
+    // raised the price of the capable model a hundredfold on idle engines, and
+    // weak answers were returned for eight seconds.
     const backlog = learn([
       [1_100, 220],
       [9_000, 330],
@@ -44,11 +44,11 @@
     chai.expect(decisions.scarcityOfBacklog(waitMs, TARGET_MS)).equal(1);
   });
 
-  it('trusts engines again after a crowd in which it started', () => {
-    // All instances are killed and start again. One sees nothing but prompts
-    // that wait behind the callers who come back: ten times as long as reading
-    // takes. It asked the capable model for nothing any more, so that it saw
-    // no prompt read, and passed weak answers on for the rest of the day.
+  it('forgets the waits of a burst in which the instance started', () => {
+    // After a restart of all instances, one sees only prompts that wait behind
+    // returning callers for ten times their prefill time. It then stopped using
+    // the capable model, got no further samples, and returned weak answers for
+    // the rest of the day.
     const backlog = learn([[9_000, 3_000]]);
     const priceAt = (nowMs: number) =>
       decisions.scarcityOfBacklog(backlog.waitMs(60_000, 8, nowMs), TARGET_MS);
@@ -58,12 +58,12 @@
 
   const prices = [
     {name: 'no prompts wait', waitMs: 0, scarcity: 1},
-    {name: 'they take a part of the target', waitMs: 800, scarcity: 1},
-    {name: 'they take all of it', waitMs: 2_000, scarcity: 6.25},
+    {name: 'the wait is a part of the target', waitMs: 800, scarcity: 1},
+    {name: 'the wait equals the target', waitMs: 2_000, scarcity: 6.25},
   ];
 
   prices.forEach(({name, waitMs, scarcity}) => {
-    it(`makes the capable model ${scarcity} times as dear when ${name}`, () => {
+    it(`multiplies the capable price by ${scarcity} when ${name}`, () => {
       const found = decisions.scarcityOfBacklog(waitMs, TARGET_MS);
       chai.expect(found).closeTo(scarcity, 1e-9);
     });
--- a/packages/decisions/tests/prefill-priority.test.ts
+++ b/packages/decisions/tests/prefill-priority.test.ts
@@ -3,11 +3,11 @@
 import * as distribution from 'pure-rand/distribution/uniformFloat64';
 import * as generator from 'pure-rand/generator/xoroshiro128plus';
 
-/** Reads that many prompt tokens in a ms. */
+/** Prompt tokens that the engine processes per ms. */
 const TOKENS_PER_MS = 37;
 const TARGET_MS = 1_500;
 
-/** Prompts of a crowd in tokens: reports, guides and a third of long logs. */
+/** Lengths of the prompts in a burst, in tokens; a third are long. */
 const SIZES = [2_400, 700, 9_200] as const;
 
 interface Prompt {
@@ -15,8 +15,8 @@
   readonly tokens: number;
 }
 
-/** A crowd for `forMs` that brings 1.6 times what one engine reads. */
-const createCrowd = (seed: number, forMs: number): readonly Prompt[] => {
+/** A burst of `forMs` with 1.6 times the prompts that an engine can process. */
+const createBurst = (seed: number, forMs: number): readonly Prompt[] => {
   const rng = generator.xoroshiro128plus(seed);
   const draw = () => distribution.uniformFloat64(rng);
   const meanTokens = SIZES.reduce((sum, size) => sum + size, 0) / SIZES.length;
@@ -29,10 +29,10 @@
   return prompts;
 };
 
-/** Reads prompts one after the other; returns how many wait too long. */
+/** Processes prompts one at a time; returns how many exceed the target. */
 const countLate = (
   prompts: readonly Prompt[],
-  rankOf: (prompt: Prompt) => number,
+  priorityOf: (prompt: Prompt) => number,
 ): number => {
   const waiting: Prompt[] = [];
   let next = 0;
@@ -45,40 +45,40 @@
     while ((prompts[next]?.atMs ?? Infinity) <= nowMs) {
       waiting.push(prompts[next++] as Prompt);
     }
-    waiting.sort((a, b) => rankOf(a) - rankOf(b) || a.atMs - b.atMs);
-    const read = waiting.shift() as Prompt;
-    nowMs += read.tokens / TOKENS_PER_MS;
-    late += nowMs - read.atMs > TARGET_MS ? 1 : 0;
+    waiting.sort((a, b) => priorityOf(a) - priorityOf(b) || a.atMs - b.atMs);
+    const prompt = waiting.shift() as Prompt;
+    nowMs += prompt.tokens / TOKENS_PER_MS;
+    late += nowMs - prompt.atMs > TARGET_MS ? 1 : 0;
   }
   return late;
 };
 
-describe('order of reading', () => {
-  const ranks = [
-    {tokens: 0, rank: 0},
-    {tokens: 350, rank: 0},
-    {tokens: 700, rank: 1},
-    {tokens: 2_400, rank: 3},
-    {tokens: 9_200, rank: 5},
-    {tokens: 10_000_000, rank: decisions.LOWEST_PREFILL_PRIORITY},
+describe('findPrefillPriority', () => {
+  const priorities = [
+    {tokens: 0, priority: 0},
+    {tokens: 350, priority: 0},
+    {tokens: 700, priority: 1},
+    {tokens: 2_400, priority: 3},
+    {tokens: 9_200, priority: 5},
+    {tokens: 10_000_000, priority: decisions.LOWEST_PREFILL_PRIORITY},
   ];
 
-  ranks.forEach(({tokens, rank}) => {
-    it(`puts a prompt of ${tokens} tokens into rank ${rank}`, () => {
-      chai.expect(decisions.findPrefillPriority(tokens)).equal(rank);
+  priorities.forEach(({tokens, priority}) => {
+    it(`gives a prompt of ${tokens} tokens priority ${priority}`, () => {
+      chai.expect(decisions.findPrefillPriority(tokens)).equal(priority);
     });
   });
 
-  it('lets a crowd of short and long prompts be on time more often', () => {
-    // A crowd brings 1.6 times what an engine reads, for six seconds. As they
-    // come: 80 in 100 prompts wait longer than their target. By rank: 27, of
-    // which nearly all are long ones.
-    const prompts = createCrowd(11, 6_000);
-    const asTheyCome = countLate(prompts, () => 0) / prompts.length;
-    const byRank =
+  it('halves the late prompts in a burst of short and long ones', () => {
+    // For six seconds prompts arrive at 1.6 times the engine's rate. In order
+    // of arrival 80 in 100 miss their target; by priority 27 do, nearly all of
+    // them long ones.
+    const prompts = createBurst(11, 6_000);
+    const lateByArrival = countLate(prompts, () => 0) / prompts.length;
+    const lateByPriority =
       countLate(prompts, ({tokens}) => decisions.findPrefillPriority(tokens)) /
       prompts.length;
-    chai.expect(asTheyCome).greaterThan(0.6);
-    chai.expect(byRank).lessThan(asTheyCome / 2);
+    chai.expect(lateByArrival).greaterThan(0.6);
+    chai.expect(lateByPriority).lessThan(lateByArrival / 2);
   });
 });
--- a/packages/decisions/tests/rendezvous.test.ts
+++ b/packages/decisions/tests/rendezvous.test.ts
@@ -6,7 +6,7 @@
 
 describe('rankByRendezvous', () => {
   const cases = [
-    {name: 'no identities', ids: [], count: 3, length: 0},
+    {name: 'no ids', ids: [], count: 3, length: 0},
     {name: 'fewer than asked for', ids: createIds(2), count: 3, length: 2},
     {name: 'more than asked for', ids: createIds(9), count: 3, length: 3},
   ];
@@ -18,7 +18,7 @@
     });
   }
 
-  it('gives one order whatever the order of its input', () => {
+  it('does not depend on the order of its input', () => {
     const ids = createIds(50);
     const reversed = [...ids].reverse();
     chai
@@ -26,16 +26,16 @@
       .deep.equal(decisions.rankByRendezvous('key', ids));
   });
 
-  it('keeps the order of the rest when one leaves', () => {
+  it('keeps the order of the other ids when one is removed', () => {
     const ids = createIds(50);
     const ranked = decisions.rankByRendezvous('key', ids);
-    const left = ids.filter(id => id !== ranked[7]);
+    const remaining = ids.filter(id => id !== ranked[7]);
     chai
-      .expect(decisions.rankByRendezvous('key', left))
+      .expect(decisions.rankByRendezvous('key', remaining))
       .deep.equal(ranked.filter(id => id !== ranked[7]));
   });
 
-  it('ranks one with twice the weight first twice as often', () => {
+  it('ranks an id with twice the weight first twice as often', () => {
     const items = [
       {id: 'large', weight: 2},
       {id: 'a', weight: 1},
--- a/packages/decisions/tests/upstream-picker-herd.test.ts
+++ b/packages/decisions/tests/upstream-picker-herd.test.ts
@@ -2,7 +2,7 @@
 import * as decisions from '@amaranthknot/decisions';
 import * as fakes from '@amaranthknot/fakes';
 
-/** Time between two steps of the load, in ms. */
+/** Time between two steps of the simulation, in ms. */
 const STEP_MS = 5;
 
 /** Time between two reports of an instance, in ms. */
@@ -10,13 +10,13 @@
 
 const LENGTH_MS = 10_000;
 
-/** Prompt tokens that an engine reads in a ms. */
+/** Prompt tokens that an engine processes per ms. */
 const PREFILL_TOKENS_PER_MS = 112;
 
 interface Load {
   readonly instances: number;
   readonly engines: number;
-  /** Long prompts a second, of all callers together. */
+  /** Long prompts per second, from all callers together. */
   readonly perSecond: number;
 }
 
@@ -38,29 +38,29 @@
   reports: readonly (readonly decisions.UpstreamReport[])[],
 ): readonly decisions.UpstreamReport[] => {
   const sums = new Map<string, decisions.UpstreamReport>();
-  for (const row of reports.flat()) {
-    const {id} = row;
+  for (const report of reports.flat()) {
+    const {id} = report;
     const sum = sums.get(id);
     sums.set(
       id,
       sum
         ? {
             id,
-            inFlight: sum.inFlight + row.inFlight,
-            waitingTokens: sum.waitingTokens + row.waitingTokens,
-            tokensPerS: sum.tokensPerS + row.tokensPerS,
-            answered: sum.answered + row.answered,
-            failed: sum.failed + row.failed,
+            inFlight: sum.inFlight + report.inFlight,
+            waitingTokens: sum.waitingTokens + report.waitingTokens,
+            tokensPerS: sum.tokensPerS + report.tokensPerS,
+            answered: sum.answered + report.answered,
+            failed: sum.failed + report.failed,
           }
-        : row,
+        : report,
     );
   }
   return [...sums.values()];
 };
 
 /**
- * Waits for first tokens, in ms and sorted, of callers whose prompts are placed
- * by many instances, each of which hears of the others by reports.
+ * Sorted times to the first token, in ms, of prompts that are placed by many
+ * instances, each of which knows the others' load only from reports.
  */
 const simulateWaits = ({
   instances,
@@ -132,21 +132,21 @@
   return waits.sort((a, b) => a - b);
 };
 
-describe('placing by many instances', () => {
+describe('UpstreamPicker on many instances', () => {
   const loads: readonly (Load & {readonly name: string})[] = [
     {name: '6 before 8 engines', instances: 6, engines: 8, perSecond: 40},
     {name: '73 before 30', instances: 73, engines: 30, perSecond: 150},
     {name: '195 before 48', instances: 195, engines: 48, perSecond: 240},
   ];
   for (const {name, ...load} of loads) {
-    it(`does not pile prompts up at one engine: ${name}`, () => {
-      // All instances sent their prompts to the engine that had looked idle
-      // half a second ago; fifteen of forty went to one of thirty, and callers
+    it(`does not send a burst of prompts to one engine: ${name}`, () => {
+      // All instances chose the engine that had looked idle half a second ago:
+      // fifteen of forty prompts went to one engine of thirty, and callers
       // waited behind them for seconds.
       const waits = simulateWaits(load);
-      const readMs = PROMPT.promptTokens / PREFILL_TOKENS_PER_MS;
+      const prefillMs = PROMPT.promptTokens / PREFILL_TOKENS_PER_MS;
       const p99 = waits[Math.floor(waits.length * 0.99)] ?? Infinity;
-      chai.expect(p99).below(5 * readMs);
+      chai.expect(p99).below(5 * prefillMs);
     });
   }
 });
--- a/packages/decisions/tests/upstream-picker-interference.test.ts
+++ b/packages/decisions/tests/upstream-picker-interference.test.ts
@@ -3,7 +3,7 @@
 import * as distribution from 'pure-rand/distribution/uniformFloat64';
 import * as decisions from '@amaranthknot/decisions';
 
-/** What the engines of this test take, in ms a token. */
+/** Prefill and decode times of the simulated engines, in ms per token. */
 const PREFILL_MS = 1 / 18;
 const DECODE_MS = 10;
 
@@ -33,12 +33,12 @@
 
 interface Engine {
   readonly id: string;
-  /** Prompts that wait, of which the first is read. */
+  /** Waiting prompts; the engine processes the first one. */
   prefilling: Running[];
   decoding: Running[];
 }
 
-/** An engine reads one prompt after the other, and makes no token meanwhile. */
+/** Runs one step. An engine decodes nothing while it processes a prompt. */
 const step = (engine: Engine, onEnd: (run: Running) => void): void => {
   const [first] = engine.prefilling;
   if (first) {
@@ -63,7 +63,11 @@
   engine.decoding = engine.decoding.filter(({leftMs}) => leftMs > 0);
 };
 
-/** Times of long answers in ms, with or without their length counted. */
+/**
+ * Latencies of long answers, in ms.
+ *
+ * @param isCounted whether the picker is given the length of answers.
+ */
 const simulateLongAnswers = (
   seed: number,
   isCounted: boolean,
@@ -85,13 +89,12 @@
   const candidates = engines.map(({id}) => ({id, zone: 'a', slots: 64}));
   const latencies: number[] = [];
   const start = (request: decisions.PickRequest) => {
-    // Without it, an answer is taken for one of no length.
-    const seen = isCounted ? request : {...request, answerTokens: 0};
-    const id = picker.pick(candidates, seen)?.id;
+    const known = isCounted ? request : {...request, answerTokens: 0};
+    const id = picker.pick(candidates, known)?.id;
     const engine = engines.find(other => other.id === id);
     engine?.prefilling.push({
       request,
-      attempt: picker.start(engine.id, seen),
+      attempt: picker.start(engine.id, known),
       atMs: now,
       leftMs: request.promptTokens * PREFILL_MS,
     });
@@ -121,14 +124,14 @@
   return latencies.reduce((sum, ms) => sum + ms, 0) / latencies.length;
 };
 
-describe('pace of long answers beside long prompts', () => {
-  it('is kept by placing them on other engines', () => {
-    // A caller's long answer stands still whenever its engine reads another's
-    // long prompt, and is cut if its instance ends meanwhile. Four engines
-    // read for half of their time. Placed as if answers had no length, long
-    // ones take 5.9 s in the mean; with their length, 5.6 s.
-    const beforeMs = meanMs(false);
-    const afterMs = meanMs(true);
-    chai.expect(afterMs).lessThan(beforeMs);
+describe('UpstreamPicker with long answers and long prompts', () => {
+  it('makes long answers faster by taking their length into account', () => {
+    // An engine decodes nothing while it processes a long prompt. A long answer
+    // on the same engine is delayed, and cut off if its instance ends
+    // meanwhile. With four engines that prefill half of the time, long answers
+    // take 5.9 s on average if their length is ignored, and 5.6 s if not.
+    const ignoredMs = meanMs(false);
+    const countedMs = meanMs(true);
+    chai.expect(countedMs).lessThan(ignoredMs);
   });
 });
--- a/packages/decisions/tests/upstream-picker.test.ts
+++ b/packages/decisions/tests/upstream-picker.test.ts
@@ -51,7 +51,7 @@
   request: decisions.PickRequest = PLAIN,
 ): string => picker.pick(candidates, request)?.id ?? '';
 
-describe('upstream picker', () => {
+describe('UpstreamPicker', () => {
   it('spreads requests over idle upstreams', () => {
     const setup = setUp();
     for (let i = 0; i < 16; i++) {
@@ -63,7 +63,7 @@
     chai.expect(Math.max(...loads)).at.most(5);
   });
 
-  it('counts what other instances have in progress', () => {
+  it('counts requests that other instances have in progress', () => {
     const setup = setUp(2);
     setup.picker.start('u-0', PLAIN);
     setup.picker.start('u-1', PLAIN);
@@ -81,8 +81,8 @@
     chai.expect(new Set(picked)).eql(new Set(['u-1']));
   });
 
-  it('sends short prompts past an upstream that reads a long one', () => {
-    // A short question waits for seconds behind a prompt of 50,000 tokens.
+  it('sends short prompts to another upstream than a long one', () => {
+    // Otherwise they wait for seconds behind a prompt of 50,000 tokens.
     const setup = setUp(2);
     const long = {
       promptTokens: 50_000,
@@ -101,32 +101,35 @@
     chai.expect(new Set(picked)).eql(new Set(['u-1']));
   });
 
-  it('sends prompts that begin alike to one upstream', () => {
+  it('sends prompts with the same prefix to one upstream', () => {
     const setup = setUp();
-    const work = {
+    const request = {
       promptTokens: 6_000,
       answerTokens: 0,
       prefixTokens: 5_000,
       prefixKey: 'model/part-1',
     };
     const picked = Array.from({length: 10}, () => {
-      const id = pickId(setup, work);
-      setup.picker.start(id, work).end('answered');
+      const id = pickId(setup, request);
+      setup.picker.start(id, request).end('answered');
       return id;
     });
     chai.expect(new Set(picked).size).equal(1);
   });
 
-  it('fills no batch while another engine has room', () => {
-    // Engines set apart for cheap models took 16 answers of 16 while the
-    // others were half empty; short prompts pushed long answers out, which
-    // were read again.
+  it('does not fill a batch while another engine has room', () => {
+    // Engines reserved for cheap models filled all 16 slots while the others
+    // were half empty. Short prompts then preempted long answers, whose prompts
+    // had to be processed again.
     const setup = setUp(10);
-    const work = {...PLAIN, promptTokens: 1_500, answerTokens: 250};
+    const request = {...PLAIN, promptTokens: 1_500, answerTokens: 250};
     for (let i = 0; i < 60; i++) {
       const tier = i % 3 === 0 ? 'capable' : 'cheap';
-      const ticket = setup.picker.start(pickId(setup, {...work, tier}), work);
-      ticket.recordFirstByte();
+      const attempt = setup.picker.start(
+        pickId(setup, {...request, tier}),
+        request,
+      );
+      attempt.recordFirstByte();
     }
     const loads = setup.candidates.map(
       ({id}) => setup.picker.describe(id).inFlight,
@@ -134,22 +137,22 @@
     chai.expect(Math.max(...loads)).at.most(7);
   });
 
-  it('tells peers of no less than nothing', () => {
-    // Weights are fractions: what was left of their sums was -1e-13 tokens,
-    // peers refused the whole report, and the instance was taken for dead.
+  it('never reports negative waiting tokens to peers', () => {
+    // Weighted tokens are fractions. Their sum ended at -1e-13, peers refused
+    // the whole report, and the instance was considered dead.
     const setup = setUp(1);
-    const tickets = Array.from({length: 200}, (_, i) =>
+    const attempts = Array.from({length: 200}, (_, i) =>
       setup.picker.start('u-0', {...PLAIN, promptTokens: 0.1 + i * 0.37}),
     );
-    tickets.reverse().forEach(ticket => {
-      ticket.recordFirstByte();
-      const [row] = setup.picker.report();
-      chai.expect(row?.waitingTokens).at.least(0);
+    attempts.reverse().forEach(attempt => {
+      attempt.recordFirstByte();
+      const [report] = setup.picker.report();
+      chai.expect(report?.waitingTokens).at.least(0);
     });
   });
 
-  it('leaves an upstream alone after failures in a row', () => {
-    // Its health is good, yet every request sent to it hangs or breaks.
+  it('ejects an upstream after consecutive failures', () => {
+    // Its health checks pass, but every request sent to it hangs or fails.
     const setup = setUp(3);
     for (let i = 0; i < 3; i++) {
       setup.picker.start('u-0', PLAIN).end('failed');
@@ -159,7 +162,7 @@
     chai.expect(picked).not.include('u-0');
   });
 
-  it('tries it again after a while', () => {
+  it('uses an ejected upstream again after the ejection', () => {
     const setup = setUp(2);
     for (let i = 0; i < 3; i++) {
       setup.picker.start('u-0', PLAIN).end('failed');
@@ -169,7 +172,7 @@
     chai.expect(picked).include('u-0');
   });
 
-  it('hears from others that an upstream fails', () => {
+  it('avoids an upstream that a peer reports as failing', () => {
     const setup = setUp(3);
     setup.picker.start('u-0', PLAIN).end('answered');
     setup.picker.merge('peer', [
@@ -186,7 +189,7 @@
     chai.expect(picked).not.include('u-0');
   });
 
-  it('uses what is left when all are to be left alone', () => {
+  it('uses an ejected upstream when all are ejected', () => {
     const setup = setUp(1);
     for (let i = 0; i < 5; i++) {
       setup.picker.start('u-0', PLAIN).end('failed');
--- a/packages/decisions/tests/warm-up.test.ts
+++ b/packages/decisions/tests/warm-up.test.ts
@@ -19,7 +19,7 @@
     TIMING,
   );
 
-describe('findBearable', () => {
+describe('findWarmUpSlots', () => {
   const cases = [
     {ageMs: -1, slots: 4},
     {ageMs: 0, slots: 4},
@@ -35,7 +35,7 @@
 });
 
 describe('issueGrant', () => {
-  it('never issues more than the bound to many instances', () => {
+  it('never grants more than the capacity to many instances', () => {
     let issuer = decisions.createInitialIssuer(0);
     let sum = 0;
     for (let i = 0; i < 20; i++) {
@@ -46,18 +46,17 @@
     chai.expect(sum).to.equal(4);
   });
 
-  // The holder of all slots is cut off with work in progress. Its slots may
-  // be issued again only when its work has certainly ended.
-  it('keeps the slots of a holder that went silent until its drain', () => {
+  // The holder of all slots becomes unreachable with requests in progress. Its
+  // slots may be granted again only when these have certainly ended.
+  it('holds the slots of an unreachable holder until its drain ends', () => {
     const {issuer} = ask(decisions.createInitialIssuer(0), 'a', 0);
     chai.expect(ask(issuer, 'b', 5_900).grant.slots).to.equal(5);
     chai.expect(ask(issuer, 'b', 6_000).grant.slots).to.equal(10);
   });
 
-  // A smaller grant is answered, the answer is lost: the holder goes on with
-  // the larger one until its end. Freeing the difference at once would let
-  // another's work come on top.
-  it('frees nothing by a smaller grant whose answer may be lost', () => {
+  // If the answer with a smaller grant is lost, the holder uses the larger one
+  // until it ends. Freeing the difference at once would exceed the capacity.
+  it('frees no slots for a smaller grant, whose answer may be lost', () => {
     const first = ask(decisions.createInitialIssuer(0), 'a', 0);
     chai.expect(first.grant.slots).to.equal(4);
     const smaller = ask(first.issuer, 'a', 500, 0, 1);
@@ -65,20 +64,20 @@
     chai.expect(ask(smaller.issuer, 'b', 600).grant.slots).to.equal(0);
   });
 
-  it('issues again at once when a holder wants nothing more', () => {
+  it('frees the slots of a holder that wants none before its drain', () => {
     const first = ask(decisions.createInitialIssuer(0), 'a', 0);
     const released = ask(first.issuer, 'a', 500, 0, 0);
     const answer = ask(released.issuer, 'b', 2_100);
     chai.expect(answer.grant.slots).to.be.at.least(4);
   });
 
-  it('keeps quiet after taking over until earlier grants have drained', () => {
+  it('grants nothing after a takeover until earlier grants drained', () => {
     const issuer = decisions.createSuccessorIssuer(0, 10_000, TIMING);
     chai.expect(ask(issuer, 'a', 18_999).grant.slots).to.equal(0);
     chai.expect(ask(issuer, 'a', 19_000).grant.slots).to.be.above(0);
   });
 
-  it('issues nothing when cold again before grants in use fit', () => {
+  it('grants nothing after a reset while used grants exceed capacity', () => {
     const warm = ask(decisions.createInitialIssuer(-60_000), 'a', 0);
     const cold = decisions.resetIssuer(warm.issuer, 100);
     chai.expect(ask(cold, 'b', 200).grant.slots).to.equal(0);
@@ -91,30 +90,30 @@
   const [, second = ''] = decisions.rankByRendezvous('u', instances, 2);
   const view = {instances, confirmedAtMs: 10_000, memberSinceMs: 0};
   const cases = [
-    {name: 'the first rank', self: first, view, expected: true},
-    {name: 'the second rank', self: second, view, expected: false},
+    {name: 'the instance ranked first', self: first, view, expected: true},
+    {name: 'the instance ranked second', self: second, view, expected: false},
     {
-      name: 'one whose view is old',
+      name: 'an instance whose view is old',
       self: first,
       view: {...view, confirmedAtMs: 6_000},
       expected: false,
     },
     {
-      name: 'one that others may not know yet',
+      name: 'an instance that others may not know yet',
       self: first,
       view: {...view, memberSinceMs: 9_000},
       expected: false,
     },
   ];
-  for (const {name, self, view: seen, expected} of cases) {
+  for (const {name, self, view: known, expected} of cases) {
     it(`is ${expected} for ${name}`, () => {
-      const may = decisions.mayIssueGrants('u', self, seen, 10_000, TIMING);
+      const may = decisions.mayIssueGrants('u', self, known, 10_000, TIMING);
       chai.expect(may).to.equal(expected);
     });
   }
 });
 
-describe('cold detector', () => {
+describe('ColdDetector', () => {
   const answer = (firstTokenMs: number): decisions.UpstreamObservation => ({
     kind: 'answer',
     firstTokenMs,
@@ -123,50 +122,53 @@
     kind: 'report',
     startedAtMs,
   });
-  const usual = [report(5), answer(100), answer(110)];
+  const typical = [report(5), answer(100), answer(110)];
   const cases: readonly {
     readonly name: string;
-    readonly signs: readonly decisions.UpstreamObservation[];
+    readonly observations: readonly decisions.UpstreamObservation[];
     readonly isCold: boolean;
   }[] = [
-    {name: 'usual answers', signs: [answer(120)], isCold: false},
+    {name: 'a typical answer', observations: [answer(120)], isCold: false},
     {
       name: 'two slow answers',
-      signs: [answer(900), answer(900)],
+      observations: [answer(900), answer(900)],
       isCold: false,
     },
     {
-      name: 'three slow answers in a row',
-      signs: [answer(900), answer(900), answer(900)],
+      name: 'three consecutive slow answers',
+      observations: [answer(900), answer(900), answer(900)],
       isCold: true,
     },
     {
-      name: 'three slow answers with a usual one between',
-      signs: [answer(900), answer(900), answer(90), answer(900)],
+      name: 'three slow answers with a typical one between them',
+      observations: [answer(900), answer(900), answer(90), answer(900)],
       isCold: false,
     },
     {
       name: 'a refusal for being cold',
-      signs: [{kind: 'refusal', reason: 'cold'}],
+      observations: [{kind: 'refusal', reason: 'cold'}],
       isCold: true,
     },
     {
       name: 'a refusal for being full',
-      signs: [{kind: 'refusal', reason: 'full'}],
+      observations: [{kind: 'refusal', reason: 'full'}],
       isCold: false,
     },
-    {name: 'the same start reported', signs: [report(5)], isCold: false},
-    {name: 'a later start reported', signs: [report(6)], isCold: true},
+    {name: 'the same start reported', observations: [report(5)], isCold: false},
+    {name: 'a later start reported', observations: [report(6)], isCold: true},
   ];
-  for (const {name, signs, isCold} of cases) {
+  for (const {name, observations, isCold} of cases) {
     it(`is ${isCold ? 'cold' : 'warm'} after ${name}`, () => {
       const warm = decisions.markWarm(decisions.createColdDetector());
-      const seen = [...usual, ...signs].reduce(decisions.observeUpstream, warm);
+      const seen = [...typical, ...observations].reduce(
+        decisions.observeUpstream,
+        warm,
+      );
       chai.expect(seen.isCold).to.equal(isCold);
     });
   }
 
-  it('takes an upstream for cold that it has not seen', () => {
+  it('is cold for an unknown upstream', () => {
     chai.expect(decisions.createColdDetector().isCold).to.equal(true);
   });
 });
--- a/packages/decisions/tests/zone-policy.test.ts
+++ b/packages/decisions/tests/zone-policy.test.ts
@@ -11,15 +11,20 @@
 
 describe('zone policy', () => {
   const cases = [
-    {name: 'always in', status: decisions.ZONE_IN, at: 0, weight: 1},
+    {name: 'never out', status: decisions.ZONE_IN, at: 0, weight: 1},
     {name: 'out', status: takeOut(), at: 5_000, weight: 0},
     {name: 'just back', status: bringBack(600_000), at: 601_000, weight: 0},
-    {name: 'half way', status: bringBack(600_000), at: 631_000, weight: 0.5},
-    {name: 'ramped', status: bringBack(600_000), at: 700_000, weight: 1},
-    {name: 'soon back', status: bringBack(60_000), at: 68_500, weight: 0.5},
+    {name: 'mid-ramp', status: bringBack(600_000), at: 631_000, weight: 0.5},
+    {name: 'past its ramp', status: bringBack(600_000), at: 700_000, weight: 1},
+    {
+      name: 'mid-ramp after a short absence',
+      status: bringBack(60_000),
+      at: 68_500,
+      weight: 0.5,
+    },
   ];
   for (const {name, status, at, weight} of cases) {
-    it(`weighs a zone that is ${name} ${weight}`, () => {
+    it(`gives a zone that is ${name} weight ${weight}`, () => {
       chai
         .expect(decisions.findZoneWeight(status, at, TIMING))
         .to.equal(weight);
@@ -57,9 +62,21 @@
       expected: 'confirmed',
     },
     {name: 'all peers agree', change: {}, expected: 'platform_out'},
-    {name: 'most are heard', change: {peersHeard: 3}, expected: 'platform_out'},
-    {name: 'few are heard', change: {peersHeard: 2}, expected: 'isolated'},
-    {name: 'none is heard', change: {peersHeard: 0}, expected: 'isolated'},
+    {
+      name: 'a majority of instances is reachable',
+      change: {peersHeard: 3},
+      expected: 'platform_out',
+    },
+    {
+      name: 'a minority of instances is reachable',
+      change: {peersHeard: 2},
+      expected: 'isolated',
+    },
+    {
+      name: 'no peer is reachable',
+      change: {peersHeard: 0},
+      expected: 'isolated',
+    },
     {
       name: 'peers have another generation',
       change: {agreedAgoMs: 2_001},
