--- a/packages/fleet/src/index.ts
+++ b/packages/fleet/src/index.ts
@@ -1,4 +1,6 @@
-/** What one instance knows of the store and of the other instances. */
+/**
+ * The state that one instance keeps of the store and of the other instances.
+ */
 export * from './store-uptime.js';
 export * from './kind-reflector.js';
 export * from './kind-view.js';
--- a/packages/fleet/src/kind-reflector.ts
+++ b/packages/fleet/src/kind-reflector.ts
@@ -1,8 +1,8 @@
-/** Keeps a view of one kind up to date by listing and watching the store. */
+/** Lists and watches the store to keep the view of one kind up to date. */
 import type * as ports from '@amaranthknot/ports';
 import type * as kindView from './kind-view.js';
 
-/** Parts that a follower works with. */
+/** Dependencies and settings of a `KindReflector`. */
 export interface KindReflectorOptions {
   readonly view: kindView.KindView;
   readonly store: ports.ObjectStore;
@@ -10,54 +10,64 @@
   /** Uniform random numbers in [0, 1). */
   readonly random: () => number;
   /**
-   * Longest wait of one watch, in ms, for a view of that age. An answer
-   * without changes
-   * confirms the view as of then, any other as of the call's start.
+   * Longest wait of one watch, in milliseconds, for a view of the given age. An
+   * answer without changes confirms the view as of the end of that wait, any
+   * other answer as of the start of the call.
    */
   readonly findWatchTimeoutMs: (ageMs: number) => number;
   /**
    * Pause after an answer with changes, in milliseconds. Changes come in
-   * series, as when upstreams are replaced one after the other, and each would
-   * end a watch.
+   * series, as when upstreams are replaced one after the other, and without a
+   * pause each change would end a watch.
    */
   readonly pauseAfterChangesMs: number;
-  /** What this instance does about the kind now. */
+  /** How this instance syncs the kind at present. */
   readonly getSyncMode: () => SyncMode;
   /** Called after each change and each confirmation. */
   readonly onUpdate: (view: kindView.KindView) => void;
-  /** Called before a call that is made since what is known is too old. */
+  /**
+   * Called before a known view is listed in mode `ask`, which is for views that
+   * are too old.
+   */
   readonly onRelist: (view: kindView.KindView) => void;
-  /** Called with the outcome of each call. */
+  /** Called after each call to the store; `error` is undefined on success. */
   readonly onCall: (kind: string, error: ports.StoreError | undefined) => void;
 }
 
-/** Whether to keep a watch open, to ask once, or to leave it to others. */
+/**
+ * How an instance syncs a kind: with a watch that is kept open (`watch`), with
+ * single lists (`ask`), or not at all, since watchers send it the changes
+ * (`none`).
+ */
 export type SyncMode = 'watch' | 'ask' | 'none';
 
 /**
- * First and longest pause after a failed call, in milliseconds. The store
- * counts refused calls too, and all instances fail at the same moment; the
- * many that only ask wait longer than the few that watch for all.
+ * Bounds of the backoff after failed calls, in milliseconds. The store counts
+ * refused calls too, and in an outage all instances fail at the same moment;
+ * the many instances in mode `ask` therefore back off for longer than the few
+ * that watch for all.
  */
 const MIN_BACKOFF_MS = 50;
 const MAX_BACKOFF_MS = {watch: 400, ask: 2_000} as const;
 
-/** How often an instance that leaves the kind to others looks again, in ms. */
+/**
+ * Interval at which an instance in mode `none` checks its mode again, in ms.
+ */
 const IDLE_INTERVAL_MS = 200;
 
-/** What came of one call to the store. */
+/** Outcome of one call to the store. */
 interface CallOutcome {
   readonly error: ports.StoreError | undefined;
-  /** Changes that a watch brought. */
+  /** Number of changes that a watch returned. */
   readonly changes: number;
 }
 
 const NO_CHANGES: CallOutcome = {error: undefined, changes: 0};
 
-/** Follows one kind until it is told to stop. */
+/** Keeps the view of one kind in sync until it is aborted. */
 export class KindReflector {
   private failures = 0;
-  /** Whether the store has forgotten the changes since the view. */
+  /** Whether the store has dropped changes that are newer than the view. */
   private isHistoryGone = false;
 
   constructor(private readonly options: KindReflectorOptions) {}
@@ -74,7 +84,7 @@
     }
   }
 
-  /** One call to the store, and the pause after a failed one. */
+  /** Makes one call to the store, and pauses after a failed one. */
   private async callStore(
     mode: 'watch' | 'ask',
     signal: AbortSignal,
@@ -98,7 +108,7 @@
       return;
     }
     this.failures++;
-    // Changes that the store has forgotten can only be found by listing.
+    // Only a list finds changes that are no longer in the store's history.
     this.isHistoryGone ||= error.code === 'history_gone';
     if (error.code !== 'history_gone') {
       await this.options.clock.sleep(this.backoffMs(mode), signal);
@@ -127,7 +137,7 @@
     return changes.caseOf<CallOutcome>({
       Left: error => ({error, changes: 0}),
       Right: found => {
-        // The store held a call without changes for as long as it was asked.
+        // The store answers without changes only after the whole wait.
         const {length} = found.events;
         const wasHeld = length === 0 && clock.now() - startedAt >= waitMs;
         view.applyChanges(found, wasHeld ? startedAt + waitMs : startedAt);
--- a/packages/fleet/src/kind-view.ts
+++ b/packages/fleet/src/kind-view.ts
@@ -1,6 +1,6 @@
 /**
- * All objects of one kind as an instance knows them, and as of when they are
- * known to be complete. Pure: time is an argument.
+ * All objects of one kind as an instance knows them, and the time as of which
+ * the view is known to be complete. Pure: time is an argument.
  */
 import type * as ports from '@amaranthknot/ports';
 import * as murmurhash from 'murmurhash';
@@ -9,15 +9,15 @@
 /** Objects of one kind by name. */
 export type ObjectsByName = ReadonlyMap<string, ports.StoredObject>;
 
-/** The step from one state of a view to a later one. */
+/** The difference between an earlier and a later state of a view. */
 export interface ViewDelta {
-  /** Names of all objects that there are then. */
+  /** Names of all objects of the later state; objects not named are deleted. */
   readonly names: readonly string[];
-  /** Objects that changed on the way. */
+  /** Objects that changed between the two states. */
   readonly objects: readonly ports.StoredObject[];
 }
 
-/** A state that a step leads to. */
+/** The state that a delta leads to. */
 export interface ViewTarget {
   readonly version: number;
   readonly digest: string;
@@ -48,12 +48,15 @@
     return this.confirmedAt;
   }
 
-  /** Since when the store has answered someone; see `AnsweredSpan`. */
+  /**
+   * Time since which the store has answered some instance without an outage;
+   * see `StoreUptime`.
+   */
   get answeredFromMs(): number {
     return this.answered.fromMs;
   }
 
-  /** Takes in a span in which the store answered a peer. */
+  /** Records a span in which the store answered a peer. */
   recordAnswered(span: storeUptime.TimeSpan): void {
     this.answered.record(span);
   }
@@ -65,8 +68,8 @@
   }
 
   /**
-   * Takes in a peer's word that contents with this digest were complete as of
-   * `asOfMs`. Says whether they are this view's own.
+   * Confirms the view as of `asOfMs` if a peer's contents with this digest,
+   * complete as of then, are the same. Returns whether they are.
    */
   confirmIfSame(digest: string, version: number, asOfMs: number): boolean {
     if (this.completeTo === undefined || digest !== this.digest) {
@@ -78,8 +81,9 @@
   }
 
   /**
-   * Takes in a listing as of `asOfMs`, when it was asked for. An older one
-   * than the view is ignored: a late answer must not bring back what is gone.
+   * Replaces the contents by a listing that was requested at `asOfMs`. A
+   * listing older than the view is ignored, since a late answer must not
+   * restore deleted objects. Returns whether the listing was applied.
    */
   replaceAll(listing: ports.StoreListing, asOfMs: number): boolean {
     if (this.completeTo !== undefined && listing.version < this.completeTo) {
@@ -95,7 +99,7 @@
     return true;
   }
 
-  /** What a view that is complete up to `version` lacks. */
+  /** Returns what a view that is complete up to `version` lacks. */
   deltaSince(version: number): ViewDelta {
     const objects = [...this.byName.values()];
     return {
@@ -105,8 +109,9 @@
   }
 
   /**
-   * Takes in the step to a later state. Says whether that state was reached:
-   * a peer's history of an object may differ where one of them is behind.
+   * Applies a delta, and returns whether the view then has the target's digest.
+   * It may not: where this instance or the peer is behind, they may have
+   * different versions of an object. The view is then left unchanged.
    */
   applyDelta(
     {names, objects}: ViewDelta,
@@ -122,9 +127,9 @@
   }
 
   /**
-   * Takes in the changes that a watch brought. Those that the view has already
-   * are passed over: a peer or a listing may have brought newer ones while the
-   * watch was on its way, and the next watch would not bring them again.
+   * Applies the changes that a watch returned. Changes that the view already
+   * has are skipped: a peer or a listing may have brought newer versions while
+   * the watch was in progress, and the next watch would not return those again.
    */
   applyChanges(changes: ports.StoreChanges, asOfMs: number): void {
     const {completeTo = -1} = this;
--- a/packages/fleet/src/member-groups.ts
+++ b/packages/fleet/src/member-groups.ts
@@ -1,30 +1,30 @@
 /**
- * Which instances are on the line with which other one. Watchers tell each
- * other of their groups: who lives is told by one count a group, however many
- * instances there are, and members are passed on only when they change. Pure:
- * time is an argument.
+ * Which instances are connected to which other instance. Watchers send each
+ * other the state of their groups: one counter a group shows that its members
+ * live, however many there are, and the members are sent only when they change.
+ * Pure: time is an argument.
  */
 import type * as protocol from '@amaranthknot/protocol';
 
-/** What came of news on groups. */
+/** Effect of merged group states and members. */
 export interface GroupUpdate {
-  /** Members of groups whose beat has risen, or that have changed. */
+  /** Members of groups whose beat rose or whose members changed. */
   readonly alive: readonly protocol.Member[];
-  /** Instances that a group no longer has. */
+  /** Ids of instances that a group no longer has. */
   readonly dropped: readonly string[];
 }
 
 interface Group {
   start: number;
   beat: number;
-  /** When its beat last rose here. */
+  /** When its beat was last seen to rise. */
   heardAtMs: number;
   /** 0 while the members are not known. */
   revision: number;
   members: readonly protocol.Member[];
 }
 
-/** Settings of the groups. */
+/** Time limits of the groups. */
 export interface MemberGroupsOptions {
   /** Time without a new beat after which a group counts as gone, in ms. */
   readonly silentMs: number;
@@ -32,13 +32,13 @@
   readonly retentionMs: number;
 }
 
-/** Groups of other instances. */
+/** Groups kept by other instances. */
 export class MemberGroups {
   private readonly groups = new Map<string, Group>();
 
   constructor(private readonly options: MemberGroupsOptions) {}
 
-  /** How far the groups have come that are kept up. */
+  /** States of the groups whose beat still rises. */
   states(nowMs: number): readonly protocol.GroupState[] {
     return this.live(nowMs).map(([keeper, {start, beat, revision}]) => ({
       keeper,
@@ -48,7 +48,7 @@
     }));
   }
 
-  /** Members of the groups that a peer with these states lacks. */
+  /** Members of the live groups that a peer with these states lacks. */
   membersNewerThan(
     states: readonly protocol.GroupState[],
     nowMs: number,
@@ -61,14 +61,14 @@
     });
   }
 
-  /** Whether a group that is kept up has the instance. */
+  /** Whether a live group has the instance. */
   hasMember(id: string, nowMs: number): boolean {
     return this.live(nowMs).some(([, {members}]) =>
       members.some(member => member.id === id),
     );
   }
 
-  /** Takes in what a peer tells of groups. */
+  /** Merges a peer's group states and members. */
   merge(
     states: readonly protocol.GroupState[],
     updates: readonly protocol.GroupMembers[],
@@ -96,7 +96,7 @@
     return {alive: [...risen].flatMap(({members}) => members), dropped};
   }
 
-  /** Forgets groups that have been gone for long. */
+  /** Removes groups that have been gone for longer than `retentionMs`. */
   expire(nowMs: number): void {
     for (const [keeper, {heardAtMs}] of this.groups) {
       if (nowMs - heardAtMs > this.options.retentionMs) {
@@ -106,8 +106,9 @@
   }
 
   /**
-   * Notes a beat; the group, if it is a new one. A group that is gone stays
-   * known by its last beat: peers that have it still would bring it back.
+   * Records a group's state; returns the group if its beat rose, else
+   * undefined. The last beat of a group that is gone is kept: peers that still
+   * have the group would otherwise bring it back.
    */
   private mergeState(
     {keeper, start, beat}: protocol.GroupState,
@@ -140,14 +141,14 @@
   }
 }
 
-/** Whether one state of a group's members is later than another. */
+/** Whether state `a` of a group's members is later than `b`. */
 const isLater = (
   a: {readonly start: number; readonly revision: number},
   b: {readonly start: number; readonly revision: number} | undefined,
 ): boolean =>
   !b || a.start > b.start || (a.start === b.start && a.revision > b.revision);
 
-/** Instances that were members and are no more. */
+/** Ids of `before` that are not in `after`. */
 export const findDropped = (
   before: readonly protocol.Member[],
   after: readonly protocol.Member[],
--- a/packages/fleet/src/member-list.ts
+++ b/packages/fleet/src/member-list.ts
@@ -1,31 +1,33 @@
 /**
- * The list of live instances as one instance tells it to others, in steps: a
- * start or a loss costs each of them one row, and not the whole list. Pure.
+ * The list of live instances that one instance sends to others, with deltas: a
+ * start or a loss costs each receiver one row instead of the whole list. Pure.
  */
 import type * as protocol from '@amaranthknot/protocol';
 
 interface Entry {
   readonly member: protocol.Member;
-  /** Count of the change that brought it. */
+  /** Number of the change that added or replaced it. */
   readonly since: number;
 }
 
-/** A list with its changes. */
+/** The list of live instances with its numbered changes. */
 export class MemberList {
   private changes = 0;
   private entries = new Map<string, Entry>();
-  /** Instances that live no more, by the count of the change. */
+  /** Ids of instances that are gone, with the number of the change. */
   private readonly gone = new Map<string, number>();
 
-  /** @param name names the teller and its start; versions begin with it. */
+  /**
+   * @param name identifies the sender and its start; versions begin with it.
+   */
   constructor(private readonly name: string) {}
 
-  /** Names the state of the list. */
+  /** Identifies the present state of the list. */
   get version(): string {
     return `${this.name}#${this.changes}`;
   }
 
-  /** Takes in who lives now. */
+  /** Sets the instances that live now. */
   update(members: readonly protocol.Member[]): void {
     const next = this.changes + 1;
     const entries = new Map<string, Entry>();
@@ -49,7 +51,10 @@
     }
   }
 
-  /** What one that has `version` lacks; undefined where that is nothing. */
+  /**
+   * Returns what a receiver that has `version` lacks; undefined if nothing.
+   * Receivers with a version of another sender or start get the whole list.
+   */
   deltaSince(version: string): protocol.MemberListDelta | undefined {
     if (version === this.version) {
       return undefined;
--- a/packages/fleet/src/member-table.ts
+++ b/packages/fleet/src/member-table.ts
@@ -1,7 +1,7 @@
 /**
- * Which gateway instances there are and live, as one of them sees it. An
- * instance lives if it is on the line itself, if a group that is kept up has
- * it, or if a watcher says so. Pure: time is an argument.
+ * Which gateway instances exist and live, as one of them sees it. An instance
+ * lives if it is connected to this one, if a live group has it, or if a watcher
+ * lists it. Pure: time is an argument.
  */
 import type * as protocol from '@amaranthknot/protocol';
 import * as memberGroups from './member-groups.js';
@@ -9,56 +9,55 @@
 
 /**
  * Time without a sign of life after which an instance counts as gone, in ms.
- * Watchers hear of each other's groups in a second; callers must not be sent
- * to a dead instance for longer than the time that a machine needs to count as
- * calm again, three seconds at the least.
+ * Watchers learn of changes in each other's groups within a second. Callers
+ * must not be sent to a dead instance for longer than the time after which a
+ * machine counts as stable again, which is at least three seconds.
  */
 export const SILENT_MS = 2_500;
 
 /**
- * Time after its last call for which an instance counts as on the line, in ms:
- * four of the calls that one makes which is told of the fleet, and less than
- * it may be silent, so that others hear of a loss in the same time.
+ * Time after its last call for which an instance counts as connected, in ms:
+ * four intervals of a follower's calls, and less than `SILENT_MS`, so that
+ * others learn of a loss within that time.
  */
 const CONNECTED_MS = 2_000;
 
 /**
- * Time for which a silent instance still counts where shares are worked out,
- * in ms. It may be cut off and still send: forgotten at once, the others would
- * take over its share while it uses it.
+ * Time for which a silent instance still counts when shares are divided, in ms.
+ * It may be cut off and still send: if it were removed at once, the others
+ * would take over its share while it still uses it.
  */
 const SHARE_RETENTION_MS = 30_000;
 
-/** Time after which a silent instance is forgotten, in ms. */
+/** Time after which a silent instance is removed from the table, in ms. */
 const RETENTION_MS = 120_000;
 
 /**
- * Time for which a watcher's word on who lives counts, in ms: it comes with
- * each answer, several times a second.
+ * Time for which a watcher's list is valid, in ms. A list comes with each
+ * answer, several times a second.
  */
 const WATCHER_LIST_TTL_MS = 1_200;
 
 /**
- * Time for which an instance that did not answer counts as unreachable, unless
- * a new start of it is heard of, in ms: by then others have heard whether it
- * is gone.
+ * Time for which an instance that did not answer counts as unreachable, in ms,
+ * unless it restarts. By then others know whether it is gone.
  */
 const UNREACHABLE_MS = 3_000;
 
 interface Row {
   member: protocol.Member;
-  /** When it last showed a sign of life here. */
+  /** When this instance last received a sign of life of it. */
   heardAtMs: number;
   /** When it last called this instance. */
   calledAtMs: number;
-  /** Until then it counts as unreachable: it did not answer. */
+  /** Until then it counts as unreachable, since it did not answer. */
   unreachableUntilMs: number;
 }
 
 const isNewer = (a: protocol.Member, b: protocol.Member): boolean =>
   a.start > b.start || (a.start === b.start && a.revision > b.revision);
 
-/** The list that one instance was told last, and by whom. */
+/** The list that this instance last received from a watcher. */
 interface WatcherList {
   readonly watcherId: string;
   readonly version: string;
@@ -66,12 +65,12 @@
 }
 
 /**
- * Time for which the list that a watcher tells is kept, in ms: it is asked for
- * by each of its followers several times a second.
+ * Time for which a watcher keeps its list before it computes it again, in ms.
+ * Each of its followers asks for it several times a second.
  */
 const LIST_REFRESH_MS = 100;
 
-/** Version of a list where none was told. */
+/** Version that stands for no list. */
 const NO_VERSION = 'none';
 
 /** All instances as one of them sees them. */
@@ -83,9 +82,9 @@
   });
   private readonly list: memberList.MemberList;
   private watcherList: WatcherList | undefined;
-  /** When a watcher last told who lives. */
+  /** When a watcher last sent or confirmed its list. */
   private watcherListAtMs = -Infinity;
-  /** When the list that this instance tells others was brought up to date. */
+  /** When the list that this instance sends to others was last updated. */
   private listedAtMs = -Infinity;
   private beatCount = 0;
   private ownRevision = 0;
@@ -100,17 +99,17 @@
     return this.selfRow;
   }
 
-  /** Counts the beat of this instance's group up. */
+  /** Increments the beat of this instance's group. */
   beat(): void {
     this.beatCount++;
   }
 
-  /** Changes what this instance says of itself. */
+  /** Sets the phase that this instance reports of itself. */
   setPhase(phase: protocol.Member['phase']): void {
     this.updateSelf({phase});
   }
 
-  /** Changes what this instance says of its way to the store. */
+  /** Sets whether this instance reports the store as reached or lost. */
   setStore(store: protocol.Member['store']): void {
     if (store !== this.selfRow.store) {
       this.updateSelf({store});
@@ -123,11 +122,11 @@
   }
 
   /**
-   * Takes in rows that a peer passed on.
+   * Merges rows that a peer passed on.
    *
-   * While a watcher tells who lives, only a new start is news: peers pass on
-   * rows of any age, and one that is a little newer than this instance's would
-   * bring back an instance that is gone.
+   * While a watcher's list is valid, only a new instance or a new start is
+   * accepted: peers pass on rows of any age, and one that is a little newer
+   * than this instance's would bring back an instance that is gone.
    */
   merge(members: readonly protocol.Member[], nowMs: number): void {
     const hasWatcherList = this.hasWatcherList(nowMs);
@@ -142,12 +141,14 @@
     }
   }
 
-  /** Takes in the row of an instance that keeps a group itself: it lives. */
+  /**
+   * Records an instance that keeps a group itself, which shows that it lives.
+   */
   recordKeeper(member: protocol.Member, nowMs: number): void {
     this.set(member, nowMs);
   }
 
-  /** Takes in the row of an instance that calls: it is on the line. */
+  /** Records an instance that calls this one: it lives and is connected. */
   recordCaller(member: protocol.Member, nowMs: number): void {
     this.set(member, nowMs);
     const row = this.rows.get(member.id);
@@ -156,7 +157,7 @@
     }
   }
 
-  /** Takes in what a peer tells of groups. */
+  /** Merges a peer's group states and members. */
   mergeGroups(
     states: readonly protocol.GroupState[],
     updates: readonly protocol.GroupMembers[],
@@ -174,7 +175,7 @@
     this.drop(dropped, nowMs);
   }
 
-  /** How far groups have come; this instance's own is the first. */
+  /** States of the live groups; this instance's own is the first. */
   groupStates(nowMs: number): readonly protocol.GroupState[] {
     this.refreshOwnGroup(nowMs);
     const {id, start} = this.selfRow;
@@ -187,7 +188,7 @@
     return [own, ...this.groups.states(nowMs)];
   }
 
-  /** Members of the groups that a peer with these states lacks. */
+  /** Members of the live groups that a peer with these states lacks. */
   groupMembersNewerThan(
     states: readonly protocol.GroupState[],
     nowMs: number,
@@ -207,19 +208,22 @@
     return isKnown ? others : [own, ...others];
   }
 
-  /** Whether a watcher tells this instance who lives. */
+  /** Whether this instance has a valid list from a watcher. */
   hasWatcherList(nowMs: number): boolean {
     return nowMs - this.watcherListAtMs <= WATCHER_LIST_TTL_MS;
   }
 
-  /** The list that this instance has from a watcher. */
+  /** Version of the list that this instance has from the watcher. */
   watcherListVersion(watcherId: string): string {
     return this.watcherList?.watcherId === watcherId
       ? this.watcherList.version
       : NO_VERSION;
   }
 
-  /** Takes in a watcher's word on who lives; without a step: as before. */
+  /**
+   * Applies a watcher's list of live instances; without a delta the list is
+   * unchanged.
+   */
   applyWatcherList(
     watcherId: string,
     version: string,
@@ -251,7 +255,9 @@
     this.watcherListAtMs = nowMs;
   }
 
-  /** Version of the list of live instances that this one tells others. */
+  /**
+   * Version of the list of live instances that this instance sends to others.
+   */
   listVersion(nowMs: number): string {
     if (nowMs - this.listedAtMs >= LIST_REFRESH_MS) {
       this.listedAtMs = nowMs;
@@ -260,12 +266,14 @@
     return this.list.version;
   }
 
-  /** What one that has `version` of that list lacks, if anything. */
+  /**
+   * Returns what a receiver that has `version` of that list lacks, if anything.
+   */
   listDelta(version: string): protocol.MemberListDelta | undefined {
     return this.list.deltaSince(version);
   }
 
-  /** Notes that an instance lives, with what it says of itself if that is news. */
+  /** Records that an instance lives, and its row if that is newer. */
   private set(member: protocol.Member, nowMs: number): void {
     if (member.id === this.selfRow.id) {
       return;
@@ -294,13 +302,13 @@
     }
   }
 
-  /** Instances that no group has any more are gone. */
+  /** Marks instances as silent that are not connected and in no live group. */
   private drop(ids: readonly string[], nowMs: number): void {
     this.markSilent(
       ids.filter(id => {
         const row = this.rows.get(id);
-        const isHere = row && isConnected(row, nowMs);
-        return !isHere && !this.groups.hasMember(id, nowMs);
+        const isCalling = row && isConnected(row, nowMs);
+        return !isCalling && !this.groups.hasMember(id, nowMs);
       }),
       nowMs,
     );
@@ -332,7 +340,7 @@
     this.drop(memberGroups.findDropped(before, members), nowMs);
   }
 
-  /** Notes that an instance did not answer. */
+  /** Records that an instance did not answer a call. */
   recordUnreachable(id: string, nowMs: number): void {
     const row = this.rows.get(id);
     if (row) {
@@ -340,7 +348,7 @@
     }
   }
 
-  /** Instances that live as far as is known, this one too. */
+  /** Instances known to live, this one included. */
   live(nowMs: number): readonly protocol.Member[] {
     return [this.selfRow, ...this.others(nowMs, SILENT_MS)];
   }
@@ -350,30 +358,37 @@
     return this.others(nowMs, SILENT_MS);
   }
 
-  /** Other instances that were heard of once and now are silent. */
+  /** Other instances that have been silent for longer than `SILENT_MS`. */
   silent(nowMs: number): readonly protocol.Member[] {
     return [...this.rows.values()]
       .filter(row => nowMs - row.heardAtMs > SILENT_MS)
       .map(row => row.member);
   }
 
-  /** Instances that take callers now, this one included if it does. */
+  /**
+   * Reachable instances that take callers now, this one included if it does.
+   */
   serving(nowMs: number): readonly protocol.Member[] {
     return this.reachable(nowMs).filter(({phase}) => phase === 'serving');
   }
 
-  /** Instances that stay, whether they take callers yet or not. */
+  /**
+   * Reachable instances that are not leaving, whether they take callers yet or
+   * not.
+   */
   staying(nowMs: number): readonly protocol.Member[] {
     return this.reachable(nowMs).filter(({phase}) => phase !== 'leaving');
   }
 
-  /** Instances among which shares are divided, silent ones included. */
+  /**
+   * Ids of the instances among which shares are divided, silent ones included.
+   */
   idsForShares(nowMs: number): readonly string[] {
     const others = this.others(nowMs, SHARE_RETENTION_MS).map(({id}) => id);
     return [this.selfRow.id, ...others];
   }
 
-  /** Forgets what has been silent for long. */
+  /** Removes instances and groups that have been silent for long. */
   expire(nowMs: number): void {
     this.groups.expire(nowMs);
     for (const [id, row] of this.rows) {
--- a/packages/fleet/src/report-exchange.ts
+++ b/packages/fleet/src/report-exchange.ts
@@ -1,32 +1,38 @@
 /**
- * Exchanges reports with peers, one at a time.
+ * Exchanges reports with one peer at a time.
  *
- * Instances that watch the store exchange with each other, one that has just
- * started with any that it knows. Those that a watcher tells of the fleet do
- * not: where all tell each other all they know, that costs more than callers'
- * requests.
+ * Watchers exchange with each other, and an instance that has just started with
+ * any instance that it knows. Followers, which get the state of the fleet from
+ * a watcher, do not exchange: if all instances sent each other all they know,
+ * that would cost more than the callers' requests.
  */
 import type * as ports from '@amaranthknot/ports';
 import * as protocol from '@amaranthknot/protocol';
 import type * as memberTable from './member-table.js';
 
-/** Parts that the exchange works with. */
+/** Dependencies and settings of a `ReportExchange`. */
 export interface ReportExchangeOptions {
   readonly clock: ports.Clock;
   readonly random: () => number;
   readonly transport: protocol.PeerTransport;
   readonly members: memberTable.MemberTable;
-  /** Whether a watcher tells this instance of the fleet, and it is none. */
+  /**
+   * Whether this instance gets the state of the fleet from a watcher, and is no
+   * watcher itself.
+   */
   readonly isFollower: () => boolean;
-  /** The instances that watch, this one among them if it does. */
+  /** All watchers, this instance among them if it is one. */
   readonly findWatchers: () => readonly protocol.Member[];
-  /** `host:port` of peers that the settings name. */
+  /** `host:port` of the peers in the settings. */
   readonly seeds: () => readonly string[];
-  /** What this instance tells the peer at `address`. */
+  /** Creates the report for the peer at `address`. */
   readonly createReport: (address: string) => protocol.FleetReport;
-  /** Called when a peer gave no answer that is of use. */
+  /** Called when a peer gave no usable answer. */
   readonly onFailure: (address: string, error: protocol.PeerError) => void;
-  /** Takes in what the peer at `address`, asked at that time, answered. */
+  /**
+   * Called with the report that the peer at `address` answered, and when it was
+   * asked.
+   */
   readonly onAnswer: (
     address: string,
     report: protocol.FleetReport,
@@ -35,22 +41,25 @@
 }
 
 /**
- * Time between two exchanges, in milliseconds. Nine watchers all hear of a
- * change after about four rounds; what must be known everywhere within two
- * seconds then is, also when one exchange in two fails.
+ * Time between two exchanges, in milliseconds. A change reaches all of nine
+ * watchers in about four rounds, so what must be known everywhere within two
+ * seconds is, even when every second exchange fails.
  */
 export const EXCHANGE_INTERVAL_MS = 250;
 
-/** Longest wait for a peer, in milliseconds: some round trips and a pause. */
+/**
+ * Longest wait for a peer, in milliseconds: enough for some round trips and a
+ * pause of the peer's process.
+ */
 const EXCHANGE_TIMEOUT_MS = 700;
 
 /**
- * Rounds between two calls of a seed or of an instance that went silent. Two
- * groups that lost each other find together again this way.
+ * Every this many rounds, a seed or an instance that went silent is called. Two
+ * groups that lost each other find each other again this way.
  */
 const ROUNDS_PER_SEARCH = 8;
 
-/** Exchanges reports until it is told to stop. */
+/** Exchanges reports until it is aborted. */
 export class ReportExchange {
   private round = 0;
 
@@ -70,7 +79,7 @@
     }
   }
 
-  /** Tells all watchers at once, as when this instance leaves. */
+  /** Exchanges with all watchers at once, as when this instance leaves. */
   async notifyWatchers(): Promise<void> {
     const {members, findWatchers} = this.options;
     const others = findWatchers().filter(({id}) => id !== members.self.id);
@@ -90,22 +99,25 @@
     const own = members.self.peers;
     const live = members.peers(now).map(({peers}) => peers);
     const lost = members.silent(now).map(({peers}) => peers);
-    const searched = [...seeds(), ...lost].filter(
+    const notLive = [...seeds(), ...lost].filter(
       address => address !== own && !live.includes(address),
     );
-    const mustSearch =
+    const isSearchRound =
       live.length === 0 || this.round % ROUNDS_PER_SEARCH === 0;
-    if (mustSearch && searched.length > 0) {
-      return this.draw(searched);
+    if (isSearchRound && notLive.length > 0) {
+      return this.draw(notLive);
     }
     return this.nextWatcher() ?? this.draw(live);
   }
 
   /**
-   * The watcher whose turn it is, if this instance is one; any, if it is not.
-   * Distances double from round to round, so that what one knows has reached
-   * all others after as many rounds as their count has binary digits, where
-   * draws would now and then leave one out for seconds.
+   * If this instance is a watcher, the next watcher in its turn; otherwise a
+   * random one.
+   *
+   * The distance in the order of ids doubles from round to round. What one
+   * watcher knows thus reaches all others after as many rounds as their count
+   * has binary digits. Random draws would now and then leave a watcher out for
+   * seconds.
    */
   private nextWatcher(): string | undefined {
     const {id} = this.options.members.self;
@@ -117,8 +129,8 @@
       return this.draw(watchers.map(({peers}) => peers));
     }
     const count = watchers.length;
-    const turns = Math.max(1, Math.ceil(Math.log2(count)));
-    const distance = 2 ** (this.round % turns);
+    const roundCount = Math.max(1, Math.ceil(Math.log2(count)));
+    const distance = 2 ** (this.round % roundCount);
     return count < 2 ? undefined : watchers[(index + distance) % count]?.peers;
   }
 
--- a/packages/fleet/src/store-uptime.ts
+++ b/packages/fleet/src/store-uptime.ts
@@ -1,6 +1,6 @@
 /**
- * For how long the store is known to have answered, whichever instance it was
- * that asked. Pure: time is an argument.
+ * For how long the store is known to have answered, to this instance or any
+ * other. Pure: time is an argument.
  */
 
 /** A span of time, in milliseconds. */
@@ -11,21 +11,23 @@
 
 /**
  * Longest time between two answers of the store that can't hide an outage in
- * which entries lapse, in milliseconds. An entry lapses after three of its
- * heartbeats, 3.6 s and more, of which one may have been missed before.
+ * which entries expire, in milliseconds. An entry expires after three of its
+ * heartbeats, 3.6 s or more, one of which may have been missed before.
  */
 export const MAX_ANSWER_GAP_MS = 2_200;
 
-/** The latest span in which no silence was longer than that. */
+/**
+ * The latest span in which no gap between answers exceeded `MAX_ANSWER_GAP_MS`.
+ */
 export class StoreUptime {
   private span: TimeSpan | undefined;
 
-  /** Start of the span; Infinity before any answer is known of. */
+  /** Start of the span; Infinity if no answer is known. */
   get fromMs(): number {
     return this.span?.fromMs ?? Infinity;
   }
 
-  /** Takes in a span in which the store answered this instance or another. */
+  /** Records a span in which the store answered this instance or another. */
   record(answered: TimeSpan): void {
     const {span} = this;
     if (!span) {
--- a/packages/fleet/src/view-refresher.ts
+++ b/packages/fleet/src/view-refresher.ts
@@ -1,8 +1,8 @@
-/** Brings a view up to date at once, for requests that need it fresh. */
+/** Refreshes a view at once, for requests that need a fresh one. */
 import type * as ports from '@amaranthknot/ports';
 import type * as kindView from './kind-view.js';
 
-/** Parts that a refresh works with. */
+/** Dependencies of a `ViewRefresher`. */
 export interface ViewRefresherOptions {
   readonly view: kindView.KindView;
   readonly store: ports.ObjectStore;
@@ -11,23 +11,24 @@
 }
 
 /**
- * Longest time that a request is held for a refresh, in milliseconds. The
- * store answers in some ten; one that does not is away.
+ * Longest time that a request is held for a refresh, in milliseconds. The store
+ * answers within some ten; if it takes longer, it counts as unavailable.
  */
 const MAX_HOLD_MS = 250;
 
 /**
- * Least time between two refreshes, in milliseconds: cut off, an instance
- * would hold every request and ask for each.
+ * Minimum time between two refreshes, in milliseconds. Without it, an instance
+ * that is cut off from the store would hold every request and call the store
+ * for each.
  */
 const MIN_INTERVAL_MS = 1_000;
 
 /**
- * Refreshes one view, one call at a time.
+ * Refreshes one view, with one call at a time.
  *
- * Guards against refusals after a machine wakes up or its clock is set: what
- * the instance knows then looks old until the next watch ends, a second on,
- * while the store would confirm it in milliseconds.
+ * Prevents requests from being refused after a machine wakes up or its clock is
+ * set: the view then looks too old until the next watch ends, about a second
+ * later, while the store would confirm it in milliseconds.
  */
 export class ViewRefresher {
   private running: Promise<void> | undefined;
@@ -35,7 +36,10 @@
 
   constructor(private readonly options: ViewRefresherOptions) {}
 
-  /** Resolves when the view was refreshed, or can't be for now. */
+  /**
+   * Resolves when the view was refreshed, when `MAX_HOLD_MS` has passed, or at
+   * once if the last refresh was too recent.
+   */
   refresh(): Promise<void> {
     const {clock} = this.options;
     if (this.running) {
--- a/packages/fleet/src/view-relay.ts
+++ b/packages/fleet/src/view-relay.ts
@@ -1,30 +1,33 @@
 /**
- * Brings views from peer to peer, with their age: an instance that is cut off
- * from the store, or leaves the watching to others, goes on with what its
- * peers know.
+ * Passes views from peer to peer, with their age. An instance that is cut off
+ * from the store, or leaves the watching to others, thereby keeps working with
+ * what its peers know.
  */
 import type * as ports from '@amaranthknot/ports';
 import * as protocol from '@amaranthknot/protocol';
 import type * as kindView from './kind-view.js';
 
-/** Parts that the relay works with. */
+/** Dependencies and settings of a `ViewRelay`. */
 export interface ViewRelayOptions {
   readonly clock: ports.Clock;
   readonly transport: protocol.PeerTransport;
   readonly views: readonly kindView.KindView[];
   /** Called after a view was confirmed or replaced. */
   readonly onUpdate: (view: kindView.KindView) => void;
-  /** Age, in ms, from which a view of a kind is fetched from any peer. */
+  /** Age, in ms, above which a view of the kind is fetched from any peer. */
   readonly staleAfterMs: (kind: string) => number;
 }
 
-/** Longest wait for a peer, in milliseconds; views may be some 100 KB. */
+/** Longest wait for a peer, in milliseconds; a view may be some 100 KB. */
 const FETCH_TIMEOUT_MS = 1_000;
 
 /** Longest time for which a peer's call is held, in milliseconds. */
 const MAX_HOLD_MS = 2_000;
 
-/** Reason for which a wait ends; without one, an error is made for each. */
+/**
+ * Abort reason of a wait that ends early; without a reason, the abort would
+ * create an error each time.
+ */
 const WOKEN = 'woken';
 
 type KnownView = protocol.Params<'await_views'>['known'][number];
@@ -41,15 +44,20 @@
   ...(status === undefined ? {} : {status}),
 });
 
-/** Relays views. */
+/**
+ * Answers peers that ask for views, and takes over views that peers have newer.
+ */
 export class ViewRelay {
   private readonly fetching = new Set<string>();
-  /** Called at the next change of any view. */
+  /** Callbacks for the next change of any view. */
   private waiters: (() => void)[] = [];
 
   constructor(private readonly options: ViewRelayOptions) {}
 
-  /** What this instance tells of its views. */
+  /**
+   * States of this instance's views, without the views that it does not have
+   * yet.
+   */
   states(): readonly protocol.ViewState[] {
     const now = this.options.clock.now();
     return this.options.views.flatMap(view =>
@@ -71,11 +79,12 @@
   }
 
   /**
-   * Takes in what a peer answered.
+   * Merges the view states that a peer answered.
    *
-   * @param askedAtMs when the peer was asked. Its ages count from then: the
-   *     answer may have been held up on its way, but not made earlier. What
-   *     peers send unasked confirms nothing for that reason.
+   * @param askedAtMs when the peer was asked. The ages in the answer count from
+   *     then: the answer may have been delayed on its way, but was not made
+   *     earlier. For that reason, states that a peer sends in a call of its own
+   *     confirm nothing.
    */
   mergeStates(
     address: string,
@@ -100,14 +109,17 @@
     }
   }
 
-  /** A fresh view is brought up to date by its watcher, in small steps. */
+  /**
+   * Whether to fetch the whole view: a view that is not stale gets its changes
+   * as deltas from the watcher instead.
+   */
   private mustFetch(view: kindView.KindView, version: number): boolean {
     const {clock, staleAfterMs} = this.options;
     const isOld = clock.now() - view.confirmedAtMs > staleAfterMs(view.kind);
     return isOld && version > (view.version ?? -1);
   }
 
-  /** All objects of a view, for a peer that asks. */
+  /** Answers `fetch_view` with all objects of a view. */
   handleFetch(kind: string): protocol.Result<'fetch_view'> {
     const view = this.options.views.find(found => found.kind === kind);
     if (view?.version === undefined) {
@@ -118,7 +130,7 @@
     return {view: {version: view.version, ageMs, objects}};
   }
 
-  /** Wakes peers that wait for a change. */
+  /** Resumes the held calls of peers that wait for a change. */
   wakeWaiters(): void {
     const {waiters} = this;
     this.waiters = [];
@@ -127,7 +139,10 @@
     });
   }
 
-  /** Waits until a view differs from what a peer knows; brings what is new. */
+  /**
+   * Answers `await_views`: waits until a view is newer than the peer's, or
+   * until the wait is over, and returns the differences.
+   */
   async awaitViews({
     known,
     waitMs,
@@ -135,7 +150,7 @@
     const {clock} = this.options;
     const startedAtMs = clock.now();
     const endMs = startedAtMs + Math.min(waitMs, MAX_HOLD_MS);
-    while (!this.hasNews(known) && clock.now() < endMs) {
+    while (!this.hasUpdates(known) && clock.now() < endMs) {
       await this.waitForUpdate(endMs - clock.now());
     }
     const views = this.states().map(state => ({
@@ -148,7 +163,7 @@
     };
   }
 
-  private hasNews(known: readonly KnownView[]): boolean {
+  private hasUpdates(known: readonly KnownView[]): boolean {
     return this.options.views.some(view => {
       const theirs = known.find(({kind}) => kind === view.kind);
       const isBehind = (theirs?.version ?? -1) < (view.version ?? -1);
@@ -171,13 +186,13 @@
   }
 
   private async waitForUpdate(waitMs: number): Promise<void> {
-    const ending = new AbortController();
-    const woken = new Promise<void>(resolve => {
+    const waiting = new AbortController();
+    const updated = new Promise<void>(resolve => {
       this.waiters.push(resolve);
     });
-    const slept = this.options.clock.sleep(waitMs, ending.signal);
-    await Promise.race([woken, slept]);
-    ending.abort(WOKEN);
+    const timedOut = this.options.clock.sleep(waitMs, waiting.signal);
+    await Promise.race([updated, timedOut]);
+    waiting.abort(WOKEN);
   }
 
   private async fetch(address: string, view: kindView.KindView): Promise<void> {
--- a/packages/fleet/src/view-subscription.ts
+++ b/packages/fleet/src/view-subscription.ts
@@ -1,50 +1,58 @@
-/** Keeps views up to date by waiting calls at an instance that watches. */
+/**
+ * Keeps views up to date by long polling an instance that watches the store.
+ */
 import type * as ports from '@amaranthknot/ports';
 import * as protocol from '@amaranthknot/protocol';
 import type * as kindView from './kind-view.js';
 
-/** Parts that a subscription works with. */
+/** Dependencies and settings of a `ViewSubscription`. */
 export interface ViewSubscriptionOptions {
   readonly clock: ports.Clock;
   readonly transport: protocol.PeerTransport;
   readonly views: readonly kindView.KindView[];
-  /** Instances to ask, best first; none while this instance needs none. */
+  /**
+   * Instances to ask, best first; empty while this instance needs no source.
+   */
   readonly findSources: () => readonly protocol.Member[];
-  /** Longest age, in ms, of what a source that is of use knows. */
+  /**
+   * Age, in ms, above which a source's view of the kind is too old to be of
+   * use.
+   */
   readonly staleAfterMs: (kind: string) => number;
   /** Called after a view was confirmed or replaced. */
   readonly onUpdate: (view: kindView.KindView) => void;
-  /** Whether this instance tells others what it is told. */
+  /** Whether this instance is a watcher, which passes on what it receives. */
   readonly isWatcher: () => boolean;
-  /** What this instance tells the source of itself. */
+  /** Creates this instance's report to the source. */
   readonly createReport: (source: protocol.Member) => protocol.FollowerReport;
-  /** Called with what a source told of the fleet. */
+  /** Called with each summary of the fleet that a source sends. */
   readonly onSummary: (
     source: protocol.Member,
     summary: protocol.FleetSummary,
   ) => void;
-  /** Called when a source gave no answer that is of use. */
+  /** Called when a source gave no usable answer. */
   readonly onFailure: (address: string, error: protocol.PeerError) => void;
-  /** Called when another source is asked, or none any more. */
+  /** Called when the source changes; undefined when there is none any more. */
   readonly onSourceChange: (id: string | undefined) => void;
 }
 
 /**
- * How long a source holds a call without news, in milliseconds. Each answer
- * tells how fresh the source is; much less than a change may take. One that
- * tells others itself asks more often: what it knows grows older on the way.
+ * How long a source holds a call while nothing changes, in milliseconds. Each
+ * answer also shows how fresh the source's views are, so the hold is much
+ * shorter than the time that a change may take to reach all. Watchers ask more
+ * often, since their views grow older on the way to their followers.
  */
 const MAX_HOLD_MS = {follower: 400, watcher: 150} as const;
 
 /**
- * Longest wait for an answer beyond that, in milliseconds: a pause of the
- * source's program, and a lost packet that is sent again.
+ * How much longer than the hold to wait for an answer, in milliseconds: enough
+ * for a pause of the source's process and for a lost packet that is sent again.
  */
 const ANSWER_MARGIN_MS = 500;
 
 /**
- * Longest wait for a peer's views at the start, in milliseconds. The store
- * would answer in some ten; callers wait meanwhile.
+ * Longest wait for a peer's views at the start, in milliseconds. Callers wait
+ * meanwhile, and the store would answer within some ten milliseconds.
  */
 const FIRST_ANSWER_TIMEOUT_MS = 120;
 
@@ -52,18 +60,21 @@
 const IDLE_MS = 100;
 
 /**
- * How long a source that was of no use is passed over, in milliseconds: about
- * as long as it takes others to hear that it is gone.
+ * How long a source that gave no usable answer is avoided, in milliseconds:
+ * about as long as the other instances take to learn that it is gone.
  */
 const AVOIDANCE_MS = 3_000;
 
 type Answer = protocol.Result<'await_views'>;
 
-/** One instance's subscription. */
+/** Polls one source at a time and applies its changes to the views. */
 export class ViewSubscription {
   private readonly avoidedUntilMs = new Map<string, number>();
   private sourceId: string | undefined;
-  /** Kinds of which a step led elsewhere: they are asked for whole. */
+  /**
+   * Kinds for which a delta did not lead to its digest; the next poll asks for
+   * them whole.
+   */
   private readonly wanted = new Set<string>();
 
   constructor(private readonly options: ViewSubscriptionOptions) {}
@@ -82,12 +93,12 @@
   }
 
   /**
-   * Asks one peer for all its views, once; those that it does not have, or
-   * that do not come in time, are left to the store.
+   * Asks one peer for all its views, once. Views that it does not have, or that
+   * do not come in time, are left to the store.
    *
-   * Guards against a store that is asked for everything at each start, while
-   * all peers know it: where a fleet of hundreds is restarted in turn, that is
-   * most of its calls.
+   * Prevents each start from listing everything at the store although all peers
+   * know it: when a fleet of hundreds is restarted one by one, that would be
+   * most of the calls to the store.
    */
   async fetchInitial(address: string): Promise<void> {
     const {clock, transport} = this.options;
@@ -105,8 +116,8 @@
   }
 
   /**
-   * The best source that is not passed over. Where all are, as in an outage of
-   * the store for all, the best one: it still knows the fleet.
+   * The best source that is not avoided. If all are avoided, as when all have
+   * lost the store, it is the best of all: it still knows the fleet.
    */
   private chooseSource(): protocol.Member | undefined {
     const now = this.options.clock.now();
@@ -151,14 +162,16 @@
     }
     this.applyAnswer(source, answer.unsafeCoerce(), askedAtMs);
     if (this.wanted.size > 0) {
-      // Such an answer comes at once; a source that is behind gives it again.
+      // A call that asks for a whole view is answered at once. A source that is
+      // behind would give the same answer again, without a pause.
       await clock.sleep(IDLE_MS, signal);
     }
   }
 
   /**
-   * Ages count from when the source read its views, which was no earlier than
-   * the call and the time for which it was held.
+   * The ages in the answer count from when the source read its views, which was
+   * no earlier than the time of the call plus the time for which the source
+   * held it.
    */
   private applyAnswer(
     source: protocol.Member,
@@ -171,7 +184,7 @@
     }
     this.applyViews(views, askedAtMs + heldMs);
     if (views.some(({kind, ageMs}) => ageMs > staleAfterMs(kind))) {
-      // It has lost the store itself; another one may not have.
+      // The source has lost the store itself; another one may not have.
       this.avoid(source);
     }
   }
--- a/packages/fleet/tests/kind-reflector.test.ts
+++ b/packages/fleet/tests/kind-reflector.test.ts
@@ -8,18 +8,18 @@
   readonly clock: fakes.VirtualClock;
   readonly store: fakes.MemoryObjectStore;
   readonly view: fleet.KindView;
-  /** Calls to the store until now. */
+  /** Number of calls to the store until now. */
   readonly callCount: () => number;
   readonly stop: () => Promise<void>;
 }
 
-const follow = (): Setup => {
+const startReflector = (): Setup => {
   const clock = new fakes.VirtualClock();
   const store = new fakes.MemoryObjectStore({clock});
   const view = new fleet.KindView('k');
-  const ending = new AbortController();
+  const stopping = new AbortController();
   let calls = 0;
-  const follower = new fleet.KindReflector({
+  const reflector = new fleet.KindReflector({
     view,
     store,
     clock,
@@ -33,23 +33,23 @@
       calls++;
     },
   });
-  const running = follower.run(ending.signal);
+  const running = reflector.run(stopping.signal);
   return {
     clock,
     store,
     view,
     callCount: () => calls,
     stop: async () => {
-      ending.abort();
+      stopping.abort();
       await clock.advance(2_000);
       await running;
     },
   };
 };
 
-describe('follower of a kind', () => {
-  it('brings changes while it watches', async () => {
-    const {clock, store, view, stop} = follow();
+describe('KindReflector', () => {
+  it('applies changes while it watches', async () => {
+    const {clock, store, view, stop} = startReflector();
     await clock.advance(10);
     await store.create('k', 'a', 1);
     await clock.advance(10);
@@ -57,10 +57,11 @@
     await stop();
   });
 
-  it('takes changes in series together', async () => {
-    // Forty upstreams are replaced within two seconds. Each entry ended a
-    // watch of every watcher, and the store counts each call.
-    const {clock, store, view, callCount, stop} = follow();
+  it('collects a series of changes into few calls', async () => {
+    // Forty upstreams are replaced within two seconds. Without the pause, each
+    // change would end a watch of every watcher, and the store counts each
+    // call.
+    const {clock, store, view, callCount, stop} = startReflector();
     await clock.advance(10);
     for (let i = 0; i < 40; i++) {
       await store.create('k', `up-${i}`, i);
@@ -72,18 +73,18 @@
     await stop();
   });
 
-  it('confirms the view as of when it asked', async () => {
-    const {clock, view, stop} = follow();
+  it('confirms the view as of the time of the call', async () => {
+    const {clock, view, stop} = startReflector();
     await clock.advance(3_500);
     const age = clock.now() - view.confirmedAtMs;
     chai.expect(age).within(0, 2_000);
     await stop();
   });
 
-  it('lists again when the store has forgotten its history', async () => {
-    // An upstream that left while the history was dropped gets requests for
-    // ever: no watch tells of it any more.
-    const {clock, store, view, stop} = follow();
+  it('lists again when the store has dropped its history', async () => {
+    // An upstream left while the history was dropped, so no watch returns its
+    // deletion. Without a list, it would get requests for ever.
+    const {clock, store, view, stop} = startReflector();
     await store.create('k', 'a', 1);
     await clock.advance(10);
     store.fault = operation => (operation === 'watch' ? 'down' : 'none');
@@ -97,8 +98,8 @@
     await stop();
   });
 
-  it('asks seldom while the store is away, and at once again after', async () => {
-    const {clock, store, view, stop} = follow();
+  it('backs off while the store is out, and recovers within 500 ms', async () => {
+    const {clock, store, view, stop} = startReflector();
     await clock.advance(10);
     store.fault = () => 'down';
     await clock.advance(1_000);
--- a/packages/fleet/tests/kind-view.test.ts
+++ b/packages/fleet/tests/kind-view.test.ts
@@ -19,8 +19,8 @@
   return view;
 };
 
-describe('view of a kind', () => {
-  it('takes changes in', () => {
+describe('KindView', () => {
+  it('applies changes', () => {
     const view = viewOf([objectOf('a', 1), objectOf('b', 2)], 2);
     view.applyChanges(
       {
@@ -37,9 +37,9 @@
     chai.expect(view.confirmedAtMs).equal(100);
   });
 
-  it('ignores a listing that is older than what it knows', () => {
-    // An upstream that was removed is used again: a listing that was held up
-    // on its way arrives after newer changes.
+  it('ignores a listing older than the view', () => {
+    // Guards against a removed upstream that is used again because a listing
+    // that was delayed on its way arrives after newer changes.
     const view = viewOf([objectOf('b', 7)], 8, 50);
     const isTaken = view.replaceAll(
       {objects: [objectOf('a', 3)], version: 4},
@@ -50,8 +50,8 @@
     chai.expect(view.confirmedAtMs).equal(50);
   });
 
-  it('keeps what is newer than the changes of a watch answered late', () => {
-    // Guards against an upstream that had left being used again, for good.
+  it('keeps objects that are newer than the changes of a late watch', () => {
+    // Guards against an upstream that had left and is used again, for good.
     const view = viewOf([objectOf('a', 3), objectOf('b', 1)], 3);
     view.replaceAll({objects: [objectOf('a', 7)], version: 8}, 50);
     view.applyChanges(
@@ -69,7 +69,7 @@
     chai.expect(view.version).equal(8);
   });
 
-  it('takes in a removal that bears the version of the last change', () => {
+  it('applies a deletion whose version is that of the last change of the object', () => {
     const view = viewOf([objectOf('a', 3)], 8);
     view.applyChanges(
       {version: 9, events: [{type: 'delete', object: objectOf('a', 3)}]},
@@ -78,7 +78,7 @@
     chai.expect([...view.objects.keys()]).empty;
   });
 
-  it('believes a peer only about the same contents', () => {
+  it('is confirmed by a peer only if the contents are the same', () => {
     const view = viewOf([objectOf('a', 1)], 1, 0);
     const same = viewOf([objectOf('a', 1)], 9, 0);
     const other = viewOf([objectOf('a', 2)], 2, 0);
@@ -89,7 +89,7 @@
     chai.expect(view.version).equal(9);
   });
 
-  it('never grows older', () => {
+  it('is never confirmed as of an earlier time than before', () => {
     const view = viewOf([], 1, 100);
     view.confirmIfSame(view.digest, 1, 40);
     chai.expect(view.confirmedAtMs).equal(100);
--- a/packages/fleet/tests/member-table.test.ts
+++ b/packages/fleet/tests/member-table.test.ts
@@ -24,8 +24,8 @@
 const createTable = (): fleet.MemberTable =>
   new fleet.MemberTable(memberOf('self'));
 
-describe('member table', () => {
-  it('names instances that serve', () => {
+describe('MemberTable', () => {
+  it('lists the instances that serve', () => {
     const table = createTable();
     table.merge(
       [
@@ -38,16 +38,16 @@
     chai.expect(namesOf(table.serving(0))).eql(['a', 'self']);
   });
 
-  it('no longer names one of which nothing new is heard', () => {
-    // Callers are sent to an instance that lost its power; peers pass its last
-    // beat on for ever.
+  it('does not list an instance whose row stays unchanged', () => {
+    // Guards against sending callers to an instance that lost power: peers pass
+    // on its last row for ever.
     const table = createTable();
     table.merge([memberOf('a', {revision: 5})], 0);
     table.merge([memberOf('a', {revision: 5})], fleet.SILENT_MS + 1);
     chai.expect(namesOf(table.serving(fleet.SILENT_MS + 1))).eql(['self']);
   });
 
-  it('no longer names one that refuses connections, until it is back', () => {
+  it('does not list an unreachable instance until it restarts', () => {
     const table = createTable();
     table.merge([memberOf('a', {revision: 5})], 0);
     table.recordUnreachable('a', 0);
@@ -56,7 +56,7 @@
     chai.expect(namesOf(table.serving(2))).eql(['a', 'self']);
   });
 
-  it('takes a new start for news even if it has counted less', () => {
+  it('prefers a later start even with a lower revision', () => {
     const table = createTable();
     table.merge([memberOf('a', {start: 1, revision: 90})], 0);
     table.merge([memberOf('a', {start: 2, revision: 1, phase: 'starting'})], 1);
@@ -64,8 +64,9 @@
     chai.expect(table.peers(2)[0]?.start).equal(2);
   });
 
-  it('shares with silent instances for a while longer', () => {
-    // One that is cut off may still send: its share must not be given away.
+  it('counts silent instances for shares for a while longer', () => {
+    // An instance that is cut off may still send, so the others must not take
+    // over its share at once.
     const table = createTable();
     table.merge([memberOf('a')], 0);
     const later = fleet.SILENT_MS * 2;
@@ -73,7 +74,7 @@
     chai.expect(table.idsForShares(later)).eql(['self', 'a']);
   });
 
-  it('does not believe others about itself', () => {
+  it('ignores rows of itself that others send', () => {
     const table = createTable();
     table.merge([memberOf('self', {start: 99, phase: 'leaving'})], 0);
     chai.expect(table.self.phase).equal('serving');
@@ -85,15 +86,15 @@
     gone: [],
   });
 
-  /** A table that a watcher has told of two others. */
-  const createTold = (): fleet.MemberTable => {
+  /** A table with a watcher's list of two other instances. */
+  const createFollowerTable = (): fleet.MemberTable => {
     const table = createTable();
     table.applyWatcherList('w', 'v1', wholeList('w', 'a'), 0);
     return table;
   };
 
-  it('keeps instances that a watcher goes on naming, without a word of them', () => {
-    const table = createTold();
+  it('keeps instances that a watcher still lists, without a sign of life of their own', () => {
+    const table = createFollowerTable();
     for (let nowMs = 0; nowMs <= 2 * fleet.SILENT_MS; nowMs += 400) {
       table.applyWatcherList('w', 'v1', undefined, nowMs);
     }
@@ -103,11 +104,11 @@
     chai.expect(table.watcherListVersion('x')).not.equal('v1');
   });
 
-  it('is not misled by old rows while a watcher tells who lives', () => {
-    // An instance loses its power. Its watcher says so; then a peer that is
-    // told as well passes on a row that is a little newer than the one known
-    // here, and callers were sent to the dead instance again.
-    const table = createTold();
+  it('ignores newer rows of a gone instance while a list of a watcher is valid', () => {
+    // An instance loses power and its watcher drops it. Then another follower
+    // passes on a row that is a little newer than the one known here. Callers
+    // must not be sent to the dead instance again.
+    const table = createFollowerTable();
     table.applyWatcherList('w', 'v2', wholeList('w'), 100);
     table.merge([memberOf('a', {revision: 7})], 200);
     chai.expect(namesOf(table.serving(200))).eql(['self', 'w']);
@@ -115,7 +116,7 @@
     chai.expect(namesOf(table.serving(300))).eql(['a', 'self', 'w']);
   });
 
-  it('names a list anew when who lives or serves has changed', () => {
+  it('changes the version of the list when the life or phase of an instance changes', () => {
     const table = createTable();
     table.merge([memberOf('a')], 0);
     const version = table.listVersion(0);
@@ -125,34 +126,37 @@
     chai.expect(table.listVersion(200)).not.equal(version);
   });
 
-  it('brings one that it tells to its own list, step by step', () => {
-    // With the whole list at each change, a thousand starts cost a million
-    // rows.
-    const teller = createTable();
-    const told = new fleet.MemberTable(memberOf('told'));
-    const tell = (nowMs: number) => {
-      const version = teller.listVersion(nowMs);
-      const step = teller.listDelta(told.watcherListVersion('self'));
-      told.applyWatcherList('self', version, step, nowMs);
-      return step;
+  it('brings a receiver to its own list by deltas', () => {
+    // With the whole list at each change, a thousand starts would cost a
+    // million rows.
+    const sender = createTable();
+    const receiver = new fleet.MemberTable(memberOf('told'));
+    const send = (nowMs: number) => {
+      const version = sender.listVersion(nowMs);
+      const delta = sender.listDelta(receiver.watcherListVersion('self'));
+      receiver.applyWatcherList('self', version, delta, nowMs);
+      return delta;
     };
-    teller.merge([memberOf('a'), memberOf('b')], 0);
-    chai.expect(tell(0)?.isWhole).equal(true);
-    teller.recordCaller(memberOf('b'), 2_000);
-    teller.merge([memberOf('c')], 2_000);
+    sender.merge([memberOf('a'), memberOf('b')], 0);
+    chai.expect(send(0)?.isWhole).equal(true);
+    sender.recordCaller(memberOf('b'), 2_000);
+    sender.merge([memberOf('c')], 2_000);
     const nowMs = fleet.SILENT_MS + 1;
-    const step = tell(nowMs);
-    chai.expect(step?.isWhole).equal(false);
-    chai.expect(namesOf(step?.changed ?? [])).eql(['c']);
-    chai.expect(step?.gone).eql(['a']);
-    chai.expect(namesOf(told.serving(nowMs))).eql(['b', 'c', 'self', 'told']);
-    chai.expect(tell(nowMs)).equal(undefined);
-  });
-
-  it('forgets in a while that an instance did not answer', () => {
-    // One answer that came late kept an instance out of the directory for as
-    // long as a watcher told of it, since no beat of it was heard.
-    const table = createTold();
+    const delta = send(nowMs);
+    chai.expect(delta?.isWhole).equal(false);
+    chai.expect(namesOf(delta?.changed ?? [])).eql(['c']);
+    chai.expect(delta?.gone).eql(['a']);
+    chai
+      .expect(namesOf(receiver.serving(nowMs)))
+      .eql(['b', 'c', 'self', 'told']);
+    chai.expect(send(nowMs)).equal(undefined);
+  });
+
+  it('lists an unanswering instance again after a while', () => {
+    // Guards against one late answer that keeps an instance out of the
+    // directory for as long as a watcher lists it, since no row of its own
+    // arrives.
+    const table = createFollowerTable();
     table.recordUnreachable('a', 0);
     chai.expect(namesOf(table.serving(0))).eql(['self', 'w']);
     for (let nowMs = 0; nowMs <= 4_000; nowMs += 400) {
@@ -161,12 +165,12 @@
     chai.expect(namesOf(table.serving(4_000))).eql(['a', 'self', 'w']);
   });
 
-  /** Two watchers, one of which has `a` on the line. */
+  /** Two watchers; `a` is connected to the first one, the keeper. */
   const createWatchers = () => {
     const keeper = new fleet.MemberTable(memberOf('keeper'));
     const other = createTable();
     keeper.recordCaller(memberOf('a'), 0);
-    const tellOther = (nowMs: number) => {
+    const sendToOther = (nowMs: number) => {
       keeper.beat();
       const contents = keeper.groupMembersNewerThan(
         other.groupStates(nowMs),
@@ -175,41 +179,41 @@
       other.mergeGroups(keeper.groupStates(nowMs), contents, nowMs);
       return contents.length;
     };
-    return {keeper, other, tellOther};
+    return {keeper, other, sendToOther};
   };
 
-  it('knows of the instances of a group as long as it is kept up', () => {
-    const {keeper, other, tellOther} = createWatchers();
-    chai.expect(tellOther(0)).equal(1);
+  it('keeps the members of a group as long as its beat rises', () => {
+    const {keeper, other, sendToOther} = createWatchers();
+    chai.expect(sendToOther(0)).equal(1);
     for (let nowMs = 400; nowMs <= 2 * fleet.SILENT_MS; nowMs += 400) {
       keeper.recordCaller(memberOf('a'), nowMs);
-      chai.expect(tellOther(nowMs)).equal(0);
+      chai.expect(sendToOther(nowMs)).equal(0);
     }
     const lastMs = 2 * fleet.SILENT_MS;
     chai.expect(namesOf(other.serving(lastMs))).eql(['a', 'keeper', 'self']);
     chai.expect(namesOf(other.serving(2 * lastMs))).eql(['self']);
   });
 
-  it('drops an instance once the group that had it does', () => {
-    const {other, tellOther} = createWatchers();
-    tellOther(0);
-    tellOther(2_100);
+  it('drops an instance once its group drops it', () => {
+    const {other, sendToOther} = createWatchers();
+    sendToOther(0);
+    sendToOther(2_100);
     chai.expect(namesOf(other.serving(2_100))).eql(['keeper', 'self']);
   });
 
-  it('keeps an instance that has gone over to another group', () => {
-    const {other, tellOther} = createWatchers();
-    tellOther(0);
+  it('keeps an instance that has moved to another group', () => {
+    const {other, sendToOther} = createWatchers();
+    sendToOther(0);
     other.recordCaller(memberOf('a'), 1_000);
-    tellOther(2_100);
+    sendToOther(2_100);
     chai.expect(namesOf(other.serving(2_100))).eql(['a', 'keeper', 'self']);
   });
 
-  it('does not bring back a group that a peer still tells of', () => {
-    // A watcher is gone with all on its line. Two others that told each other
-    // of its group would keep it for ever.
-    const {keeper, other, tellOther} = createWatchers();
-    tellOther(0);
+  it('does not bring back a dead group that a peer still reports', () => {
+    // A watcher is gone, and so are all instances connected to it. Two others
+    // that report its group to each other must not keep it for ever.
+    const {keeper, other, sendToOther} = createWatchers();
+    sendToOther(0);
     const states = keeper.groupStates(0);
     const contents = keeper.groupMembersNewerThan([], 0);
     const laterMs = fleet.SILENT_MS + 1;
--- a/packages/fleet/tests/view-relay.test.ts
+++ b/packages/fleet/tests/view-relay.test.ts
@@ -24,7 +24,7 @@
   return {view, relay};
 };
 
-/** Two instances of which `cut` can only ask `other`. */
+/** Two instances: `cut` has no store and can only call `other`. */
 const createPair = (
   clock: fakes.VirtualClock,
 ): {readonly cut: Instance; readonly other: Instance} => {
@@ -47,8 +47,8 @@
   value: {},
 });
 
-describe('relay of views', () => {
-  it('brings a view to an instance that is cut off from the store', async () => {
+describe('ViewRelay', () => {
+  it('passes a view to an instance that is cut off from the store', async () => {
     const clock = new fakes.VirtualClock();
     const {cut, other} = createPair(clock);
     other.view.replaceAll({objects: [objectOf('a', 3)], version: 4}, 0);
@@ -59,9 +59,9 @@
     chai.expect(cut.view.confirmedAtMs).equal(0);
   });
 
-  it('passes ages on, not the time at which they were heard', async () => {
-    // A key was taken away; an instance that is cut off must stop using it in
-    // time, although its peers, cut off as well, answer it all the while.
+  it('counts the age of a view from when the peer confirmed it', async () => {
+    // A key was withdrawn. An instance that is cut off must stop using it in
+    // time, although its peers, cut off as well, still answer its calls.
     const clock = new fakes.VirtualClock();
     const {cut, other} = createPair(clock);
     other.view.replaceAll({objects: [objectOf('a', 3)], version: 4}, 0);
@@ -73,7 +73,7 @@
     chai.expect(cut.view.confirmedAtMs).equal(0);
   });
 
-  it('does not go back to what a peer knew earlier', async () => {
+  it('does not revert to an older view of a peer', async () => {
     const clock = new fakes.VirtualClock();
     const {cut, other} = createPair(clock);
     cut.view.replaceAll({objects: [objectOf('b', 8)], version: 9}, 0);
--- a/packages/fleet/tests/view-subscription.test.ts
+++ b/packages/fleet/tests/view-subscription.test.ts
@@ -16,7 +16,7 @@
   readonly clock: fakes.VirtualClock;
   readonly sources: readonly Source[];
   readonly follower: fleet.KindView;
-  /** Sources, by address, that do not answer. */
+  /** Addresses of sources that do not answer. */
   readonly silent: Set<string>;
   readonly asked: string[];
 }
@@ -66,7 +66,7 @@
   pinnedKnown: {},
 });
 
-/** An instance that is told by the first of two sources that is of use. */
+/** An instance that subscribes to the first usable one of two sources. */
 const subscribe = (): Setup => {
   const clock = new fakes.VirtualClock();
   const sources = [createSource(clock, 's1'), createSource(clock, 's2')];
@@ -104,8 +104,8 @@
 const namesOf = (view: fleet.KindView): readonly string[] =>
   [...view.objects.keys()].sort();
 
-describe('subscription to a watcher', () => {
-  it('brings a change at once, and only what changed', async () => {
+describe('ViewSubscription', () => {
+  it('applies a change at once, and only the changed objects', async () => {
     const {clock, sources, follower} = subscribe();
     const source = sources[0]!;
     const objects = [objectOf('a', 1), objectOf('b', 2)];
@@ -131,9 +131,9 @@
     chai.expect(follower.version).equal(4);
   });
 
-  it('passes on how old the watcher knows its view to be', async () => {
-    // A key was taken away while the watcher had lost the store: an instance
-    // that it tells must not take the watcher's answers for the store's.
+  it('takes over the age of the view of the watcher', async () => {
+    // A key was withdrawn while the watcher had lost the store. A follower must
+    // not take the watcher's answers for those of the store.
     const {clock, sources, follower} = subscribe();
     sources.forEach(({view, relay}) => {
       view.replaceAll({objects: [objectOf('a', 1)], version: 1}, 0);
@@ -143,9 +143,10 @@
     chai.expect(follower.confirmedAtMs).equal(0);
   });
 
-  it('turns to another watcher when the first has lost the store', async () => {
-    // An upstream left, and one zone's instances go on sending to it: their
-    // watcher answers them, but the store no longer answers the watcher.
+  it('moves to another watcher when the first has lost the store', async () => {
+    // An upstream left, but the watcher of one zone has lost the store and
+    // still answers its followers. They must not go on sending to that
+    // upstream.
     const {clock, sources, follower} = subscribe();
     const [lost, well] = sources as [Source, Source];
     lost.view.replaceAll({objects: [objectOf('a', 1)], version: 1}, 0);
@@ -157,7 +158,7 @@
     chai.expect(namesOf(follower)).eql([]);
   });
 
-  it('turns to another watcher when the first is gone', async () => {
+  it('moves to another watcher when the first does not answer', async () => {
     const {clock, sources, follower, silent} = subscribe();
     silent.add('s1:1');
     sources[1]?.view.replaceAll({objects: [objectOf('a', 1)], version: 1}, 0);
@@ -165,9 +166,9 @@
     chai.expect(namesOf(follower)).eql(['a']);
   });
 
-  it('asks for all where a step leads elsewhere', async () => {
-    // The follower is ahead in name only: its own object differs from what
-    // the watcher's step starts from.
+  it('asks for the whole view when a delta does not lead to its digest', async () => {
+    // The follower has the higher version of `a`, but not the watcher's: its
+    // object differs from the one that the watcher's delta starts from.
     const {clock, sources, follower} = subscribe();
     const source = sources[0]!;
     follower.replaceAll({objects: [objectOf('a', 2)], version: 2}, 0);
--- a/packages/membership/src/announce-leaving.ts
+++ b/packages/membership/src/announce-leaving.ts
@@ -1,12 +1,15 @@
-/** Tells the fleet that an instance leaves. */
+/** Announces to peers that an instance leaves. */
 import * as protocol from '@amaranthknot/protocol';
 import * as configurationRelay from './configuration-relay.js';
 import type * as peerTable from './peer-table.js';
 
-/** Peers told at once that this instance leaves; news tells the others. */
+/**
+ * Number of peers that get the announcement directly; the others learn of it
+ * through news.
+ */
 const ANNOUNCEMENT_PEERS = 8;
 
-/** Parts that the announcement works with. */
+/** Dependencies of `announceLeaving`. */
 export interface AnnounceLeavingOptions {
   readonly transport: protocol.PeerTransport;
   readonly peers: peerTable.PeerTable;
@@ -14,22 +17,22 @@
 }
 
 /**
- * Tells random peers that this instance leaves; the news reaches the others
- * with their exchanges. Callers are then no longer sent to it.
+ * Announces to random peers that this instance leaves, so that callers are no
+ * longer sent to it. The others learn of it as news with their exchanges.
  */
 export const announceLeaving = async (
   options: AnnounceLeavingOptions,
 ): Promise<void> => {
   const {peers, transport, random} = options;
   peers.markLeaving();
-  const told = peers
+  const receivers = peers
     .all()
     .filter(peer => peer.state !== 'dead')
     .map(peer => ({peer, order: random()}))
     .sort((a, b) => a.order - b.order)
     .slice(0, ANNOUNCEMENT_PEERS);
   await Promise.all(
-    told.map(({peer}) =>
+    receivers.map(({peer}) =>
       protocol.callPeer(
         transport,
         peer.address,
--- a/packages/membership/src/configuration-follower.ts
+++ b/packages/membership/src/configuration-follower.ts
@@ -1,6 +1,6 @@
 /**
  * Keeps one instance's configuration up to date: a few instances of each zone
- * watch the platform, all exchange generations with random peers.
+ * watch the platform, and all exchange generations with random peers.
  */
 import * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
@@ -14,27 +14,30 @@
 import type * as peerTable from './peer-table.js';
 
 /**
- * Instances of each zone that watch the platform. Three, so that two may die
- * unnoticed for a while, and so that in today's deployments of 7 instances
- * all watch: none depends on luck with its peers. With 9 zones 27 in all,
- * whatever the fleet's size.
+ * Number of instances of each zone that watch the platform. Three, so that two
+ * may die unnoticed for a while, and so that in a deployment of 7 instances all
+ * watch and none depends on which peers it happens to draw. With 9 zones that
+ * is 27 in all, whatever the size of the fleet.
  */
 export const WATCHERS_PER_ZONE = 3;
 
-/** Time between looks at whether to watch, in milliseconds; costs no call. */
+/**
+ * Time between checks whether to watch, in milliseconds; a check costs no call.
+ */
 const WATCH_CHECK_MS = 500;
 
 /**
- * Failed exchanges in a row after which an instance watches the platform
- * itself. Cut off from its peers it can not learn of a change otherwise; in an
- * outage of the platform alone exchanges work, so nobody piles onto it.
+ * Consecutive failed exchanges after which an instance watches the platform
+ * itself. If it is cut off from its peers, it can't learn of a change
+ * otherwise. In an outage of the platform alone, exchanges succeed, so this
+ * adds no load to it.
  */
 const FAILURES_TO_WATCH = 2;
 
-/** Peers asked at a start, before the platform. */
+/** Peers asked at start, before the platform. */
 const START_PEERS = 3;
 
-/** Parts that a follower works with. */
+/** Dependencies and settings of a `ConfigurationFollower`. */
 export interface ConfigurationFollowerOptions {
   readonly environment: string;
   readonly store: ports.ObjectStore;
@@ -43,13 +46,16 @@
   readonly peers: peerTable.PeerTable;
   readonly clock: ports.Clock;
   readonly random: () => number;
-  /** Addresses from the settings, asked while the list is out. */
+  /**
+   * Addresses from the settings, called while the platform's list is
+   * unavailable.
+   */
   readonly seeds?: readonly string[];
-  /** Called each time a higher generation is in force, and only then. */
+  /** Called each time a higher generation becomes active, and only then. */
   readonly onChange?: configurationRelay.ConfigurationRelayOptions['onChange'];
 }
 
-/** Follows the accepted configuration of an environment. */
+/** Follows the accepted configuration of one environment. */
 export class ConfigurationFollower {
   private readonly relay: configurationRelay.ConfigurationRelay;
   private readonly stopping = new AbortController();
@@ -62,9 +68,9 @@
   constructor(private readonly options: ConfigurationFollowerOptions) {
     this.relay = new configurationRelay.ConfigurationRelay({
       ...options,
-      onChange: (taken, origin) => {
+      onChange: (updated, origin) => {
         this.pacer.expedite();
-        options.onChange?.(taken, origin);
+        options.onChange?.(updated, origin);
       },
     });
     this.watcher = new headWatcher.HeadWatcher({
@@ -76,7 +82,10 @@
     this.pacer = new exchangePacer.ExchangePacer(options.clock, options.random);
   }
 
-  /** Asks peers and the platform once, then keeps following until `stop`. */
+  /**
+   * Asks peers, then the platform if no peer has a configuration, and keeps
+   * following until `stop`.
+   */
   async start(): Promise<void> {
     await this.discovery.refresh();
     await this.askPeers();
@@ -90,29 +99,32 @@
     ]);
   }
 
-  /** Stops following; the configuration stays as it is. */
+  /** Stops following; the active configuration is kept. */
   async stop(): Promise<void> {
     this.stopping.abort();
     this.pacer.stop();
     await this.loops;
   }
 
-  /** Tells peers that this instance leaves, so that none offers it. */
+  /**
+   * Announces to peers that this instance leaves, so that none offers it to
+   * callers.
+   */
   announceLeaving(): Promise<void> {
     return leaving.announceLeaving(this.options);
   }
 
-  /** The configuration in force; undefined before the first. */
+  /** The active configuration; undefined before the first. */
   activeConfiguration(): configurationUpdate.ActiveConfiguration | undefined {
     return this.relay.activeConfiguration();
   }
 
-  /** The generation in force; 0 before the first. */
+  /** The active generation; 0 before the first. */
   activeGeneration(): number {
     return this.relay.generation();
   }
 
-  /** Age of the last confirmation in milliseconds; undefined for never. */
+  /** Age of the last confirmation, in milliseconds; undefined if never. */
   confirmedAgeMs(): number | undefined {
     return this.relay.freshness.confirmedAgeMs(this.options.clock.now());
   }
@@ -131,15 +143,15 @@
   }
 
   /**
-   * Whether new work may start. Not while isolated: an accepted change may
-   * have withdrawn a version or taken a zone out without this instance.
+   * Whether new work may start. Not while isolated: a change that this instance
+   * has not seen may have withdrawn a version or taken a zone out.
    */
   mayTakeWork(): boolean {
     const standing = this.standing();
     return standing === 'confirmed' || standing === 'platform_out';
   }
 
-  /** Functions that answer the messages of other instances. */
+  /** Handlers for the messages of other instances. */
   handlers(): protocol.Handlers {
     const {peers, clock} = this.options;
     const exchangeGenerations = (
@@ -153,7 +165,7 @@
       standing: this.standing(),
     });
     const listPeers = () => ({peers: [peers.self(), ...peers.all()]});
-    const takeLeaving = ({from}: protocol.Params<'leaving'>) => {
+    const handleLeaving = ({from}: protocol.Params<'leaving'>) => {
       peers.recordContact(from, clock.now());
       return {};
     };
@@ -162,7 +174,7 @@
       fetch_sections: fetchSections,
       report_generation: reportGeneration,
       list_peers: listPeers,
-      leaving: takeLeaving,
+      leaving: handleLeaving,
     };
   }
 
@@ -210,8 +222,8 @@
     }
     const isAnswered = await this.watcher.poll();
     if (!isAnswered) {
-      // As seldom as a watch that works, and spread: neither an outage nor
-      // its end raises the rate of calls.
+      // Called no more often than a watch that works, and with jitter: neither
+      // an outage nor its end raises the rate of calls.
       await this.sleep(this.jitter(headWatcher.WATCH_TIMEOUT_MS));
     }
   }
@@ -221,7 +233,8 @@
     peers.expire(clock.now());
     const boundMs = this.relay.boundMs(this.countWatchers());
     const isInDoubt = (this.confirmedAgeMs() ?? Infinity) > boundMs / 2;
-    // In doubt there is no time to lose with peers that did not answer lately.
+    // In doubt, only peers that answered lately are asked: waiting for others
+    // would take too long.
     const peer = isInDoubt ? peers.draw(random, 0) : peers.draw(random);
     this.pacer.begin();
     if (peer) {
--- a/packages/membership/src/configuration-head.ts
+++ b/packages/membership/src/configuration-head.ts
@@ -1,20 +1,22 @@
 /**
- * The accepted configuration of an environment, as the platform keeps it:
- * immutable content-addressed objects, and one head that names the digest in
- * force. Only the head's conditional update puts a configuration in force.
+ * The accepted configuration of an environment, as the platform stores it:
+ * immutable content-addressed objects, and one head that names the active
+ * digest. Only the conditional update of the head makes a configuration active.
  */
 import * as configuration from '@amaranthknot/configuration';
 import type * as ports from '@amaranthknot/ports';
 import * as purify from 'purify-ts';
 import type * as compareManifests from './util/compare-manifests.js';
 
-/** Kind of the heads, one object for each environment. */
+/** Object kind of the heads; one object for each environment. */
 export const HEAD_KIND = 'configuration_head';
 
-/** Kind of sections and manifests, each named by its digest. */
+/**
+ * Object kind of sections and manifests; each object is named by its digest.
+ */
 export const SECTION_KIND = 'configuration_section';
 
-/** How one generation differs from the one before. */
+/** How one generation differs from the previous one. */
 export interface HeadDelta {
   readonly generation: number;
   readonly digest: string;
@@ -22,27 +24,30 @@
   readonly removed: readonly string[];
 }
 
-/** The configuration in force for an environment. */
+/** The head of an environment, which names its active configuration. */
 export interface Head {
-  /** Grows by one with each publication. */
+  /** Increases by one with each publication. */
   readonly generation: number;
   /** Digest of the manifest. */
   readonly digest: string;
-  /** Latest steps, oldest first; a watcher behind by few needs no manifest. */
+  /**
+   * Latest deltas, oldest first. A watcher that is only few generations behind
+   * needs no manifest.
+   */
   readonly steps: readonly HeadDelta[];
-  /** Identities of the latest publications, the newest last. */
+  /** Ids of the latest publications, newest last. */
   readonly publications: readonly string[];
 }
 
-/** A head with the version that the platform keeps it under. */
+/** A head, and its object version at the platform. */
 export interface StoredHead {
   readonly head: Head;
   readonly version: number;
 }
 
 /**
- * Reads the head of an environment; undefined when nothing is published yet.
- * The platform may answer with an older one.
+ * Reads the head of an environment; undefined if nothing is published yet. The
+ * platform may answer with an older head.
  */
 export const readHead = async (
   store: ports.ObjectStore,
@@ -62,7 +67,7 @@
   version: object.version,
 });
 
-/** Reads a section or manifest; its content is checked against its name. */
+/** Reads a section or manifest, and checks its content against its digest. */
 export const readSection = async (
   store: ports.ObjectStore,
   digest: string,
@@ -73,7 +78,7 @@
       ? purify.Right(value)
       : purify.Left({
           code: 'unavailable' as const,
-          message: `section ${digest} has another content`,
+          message: `content of section ${digest} does not match its digest`,
         }),
   );
 };
--- a/packages/membership/src/configuration-publisher.ts
+++ b/packages/membership/src/configuration-publisher.ts
@@ -1,4 +1,7 @@
-/** Puts a checked document in force for an environment, whole or not at all. */
+/**
+ * Publishes a checked document as the active configuration of an environment,
+ * as a whole or not at all.
+ */
 import * as crypto from 'node:crypto';
 import * as configuration from '@amaranthknot/configuration';
 import type * as ports from '@amaranthknot/ports';
@@ -8,15 +11,15 @@
 import * as compareManifests from './util/compare-manifests.js';
 
 /**
- * Steps kept in a head. Watchers see each generation within a second, at the
- * 1.05 changes/s of the design; two steps cover the ones that come together,
- * and keep the head, which each watcher reads once per change, near 1 KB.
+ * Deltas kept in a head. Watchers see each generation within a second at the
+ * design rate of 1.05 changes/s. Two deltas cover the generations that come
+ * together, and keep the head near 1 KB; each watcher reads it once per change.
  */
 const MAX_STEPS = 2;
 
 /**
- * Identities of publications kept in a head. A publisher whose answer was lost
- * finds its own among them; at 1.05 changes/s for 7 s.
+ * Publication ids kept in a head. A publisher whose answer was lost finds its
+ * own id among them, for 7 s at 1.05 changes/s.
  */
 const MAX_PUBLICATIONS = 8;
 
@@ -29,7 +32,7 @@
   call: () => Promise<ports.StoreResult<T>>,
 ): Promise<ports.StoreResult<T>> => {
   let result = await call();
-  for (let tries = 1; tries < headUpdate.MAX_ATTEMPTS; tries++) {
+  for (let attempt = 1; attempt < headUpdate.MAX_ATTEMPTS; attempt++) {
     const code = result
       .swap()
       .map(error => error.code)
@@ -42,7 +45,9 @@
   return result;
 };
 
-/** Creates an object named by its content; one that exists is the same. */
+/**
+ * Creates an object named by its digest; one that exists has the same content.
+ */
 const createContent = async (
   store: ports.ObjectStore,
   digest: string,
@@ -56,8 +61,8 @@
     .chainLeft(error =>
       error.code === 'conflict'
         ? purify.Right(undefined)
-        : // Nothing is in force before the head moves, so even a lost answer
-          // here leaves nothing behind but an object that no head names.
+        : // Nothing is active before the head is updated, so even a lost answer
+          // here leaves only an object that no head names.
           purify.Left({code: 'unavailable' as const, message: error.message}),
     );
 };
@@ -76,7 +81,7 @@
 };
 
 /**
- * Reads the head to build on. A stale answer shows as a generation below the
+ * Reads the head to build on. A stale answer has a generation below the
  * expected one, so the read is repeated before a conflict is reported.
  */
 const readBase = async (
@@ -87,7 +92,7 @@
   headUpdate.PublishResult<configurationHead.StoredHead | undefined>
 > => {
   let generation = 0;
-  for (let tries = 0; tries < headUpdate.MAX_ATTEMPTS; tries++) {
+  for (let attempt = 0; attempt < headUpdate.MAX_ATTEMPTS; attempt++) {
     const result = await retry(() =>
       configurationHead.readHead(store, environment),
     );
@@ -140,14 +145,17 @@
   return manifest.mapLeft(toPublishError);
 };
 
-/** Random bytes of an identity, unique among the few that a head keeps. */
-const IDENTITY_BYTES = 9;
+/**
+ * Random bytes of a publication id; it must be unique among the few ids in a
+ * head.
+ */
+const PUBLICATION_ID_BYTES = 9;
 
-/** Choices for one publication. */
+/** Options of one publication. */
 export interface PublishOptions {
-  /** Refuse when another generation is in force; 0 means none yet. */
+  /** Fail with a conflict if another generation is active; 0 means none yet. */
   readonly expectedGeneration?: number;
-  /** Unique identity of this publication; random by default. */
+  /** Unique id of this publication; random by default. */
   readonly publication?: string;
 }
 
@@ -172,8 +180,8 @@
     manifest,
   );
   const digest = configuration.digestManifest(manifest);
-  // What the base names is stored already: only the difference is written, so
-  // the calls for one change do not grow with the document.
+  // What the base names is already stored. Only the difference is written, so
+  // the number of calls for one change does not grow with the document.
   const wanted = new Set(difference.entries.map(entry => entry.digest));
   const fresh = [...contents].filter(([name]) => wanted.has(name));
   const created = await createContents(
@@ -185,7 +193,7 @@
   }
   const publication =
     options.publication ??
-    crypto.randomBytes(IDENTITY_BYTES).toString('base64url');
+    crypto.randomBytes(PUBLICATION_ID_BYTES).toString('base64url');
   const head = createHead(stored?.head, digest, difference, publication);
   return headUpdate.updateHead({
     store,
@@ -197,8 +205,8 @@
 };
 
 /**
- * Puts a checked document in force: sections first, then one conditional
- * update of the head. Interrupted before that update, nothing is in force.
+ * Publishes a checked document: first its sections, then one conditional update
+ * of the head. If interrupted before that update, nothing has become active.
  */
 export const publishDocument = (
   store: ports.ObjectStore,
@@ -218,9 +226,9 @@
 };
 
 /**
- * Puts what is in force for one environment in force for another, unchanged.
- * `digest` is the configuration that was tried: when the other environment
- * has moved on, also while this runs, nothing is promoted.
+ * Publishes the active configuration of `from` for `to`, unchanged. Nothing is
+ * promoted if the active digest of `from` is not `digest`, the one that was
+ * tried, or if `to` changes while this runs.
  */
 export const promoteDocument = async (
   store: ports.ObjectStore,
--- a/packages/membership/src/configuration-relay.ts
+++ b/packages/membership/src/configuration-relay.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration in force on one instance, and the messages by which
- * instances pass it on. Without timers: `ConfigurationFollower` drives it.
+ * The active configuration of one instance, and the messages by which instances
+ * pass it on. It has no timers: `ConfigurationFollower` drives it.
  */
 import type * as ports from '@amaranthknot/ports';
 import * as protocol from '@amaranthknot/protocol';
@@ -11,39 +11,43 @@
 import type * as peerTable from './peer-table.js';
 
 /**
- * Time for one message, in milliseconds. Peers answer in a few, those of a far
- * region in about 300; a dead one must not hold up the spread of a change,
- * which has 3 s.
+ * Timeout of one message, in milliseconds. Peers answer in a few, those of a
+ * far region in about 300. A dead one must not hold up the spread of a change,
+ * which may take 3 s.
  */
 export const MESSAGE_TIMEOUT_MS = 600;
 
 /**
- * Sections up to which a step rides on an exchange. Larger ones are fetched,
- * once, so that a slow start does not get them from everyone it talks to.
+ * Sections up to which a change is sent with an exchange. Larger changes are
+ * fetched, once, so that an instance that starts slowly does not get them from
+ * every peer that it talks to.
  */
 const MAX_INLINE_SECTIONS = 16;
 
-/** Rows of news in one message: about 120 bytes each, of 4 KB/s a node. */
+/**
+ * Rows of news in one message: about 120 bytes each, of the 4 KB/s that an
+ * instance may send.
+ */
 const NEWS_LIMIT = 4;
 
-/** Where a configuration came from. */
+/** Source of a configuration. */
 export type ConfigurationOrigin = 'platform' | 'peer';
 
-/** Parts that a relay works with. */
+/** Dependencies and settings of a `ConfigurationRelay`. */
 export interface ConfigurationRelayOptions {
   readonly environment: string;
   readonly store: ports.ObjectStore;
   readonly transport: protocol.PeerTransport;
   readonly peers: peerTable.PeerTable;
   readonly clock: ports.Clock;
-  /** Called each time a higher generation is in force, and only then. */
+  /** Called each time a higher generation becomes active, and only then. */
   readonly onChange: (
     configuration: configurationUpdate.ActiveConfiguration,
     origin: ConfigurationOrigin,
   ) => void;
 }
 
-/** Keeps, passes on and takes in the configuration in force. */
+/** Keeps the active configuration, passes it on, and applies later ones. */
 export class ConfigurationRelay {
   readonly freshness = new freshness.Freshness();
   private current: configurationUpdate.ActiveConfiguration | undefined;
@@ -52,17 +56,21 @@
 
   constructor(private readonly options: ConfigurationRelayOptions) {}
 
-  /** The configuration in force; undefined before the first. */
+  /** The active configuration; undefined before the first. */
   activeConfiguration(): configurationUpdate.ActiveConfiguration | undefined {
     return this.current;
   }
 
-  /** Its generation; 0 before the first. */
+  /** Generation of the active configuration; 0 before the first. */
   generation(): number {
     return this.current?.generation ?? 0;
   }
 
-  /** Moves to a head read from the platform; says whether it is in force. */
+  /**
+   * Applies a head that was read from the platform; returns whether its
+   * generation is active then, or a later one that came meanwhile. Returns
+   * false for a head older than the active configuration.
+   */
   async adoptHead(head: configurationHead.Head): Promise<boolean> {
     if (head.generation <= this.generation()) {
       return head.generation === this.generation();
@@ -84,8 +92,9 @@
   ): protocol.Result<'exchange_generations'> {
     const {clock, peers} = this.options;
     const now = clock.now();
-    // Before it is heard, which clears it: it must learn of rumours against it
-    // to refute them everywhere.
+    // Selected before the contact is recorded, which clears a suspicion: the
+    // peer must learn that it is suspected, so that it can refute that
+    // everywhere.
     const news = peers.selectNews(params.from.id, NEWS_LIMIT);
     peers.recordContact(params.from, now);
     peers.applyNews(params.news, now);
@@ -123,7 +132,7 @@
     return change ? {change} : {};
   }
 
-  /** Exchanges generations with a peer; says whether it answered. */
+  /** Exchanges generations with a peer; returns whether it answered. */
   async exchangeWith(peer: protocol.Peer): Promise<boolean> {
     const {clock, peers} = this.options;
     const sentAt = clock.now();
@@ -146,7 +155,9 @@
     return true;
   }
 
-  /** The bound on the age of a confirmation for a fleet of this size. */
+  /**
+   * Maximum age of a confirmation, in milliseconds, for a fleet of this size.
+   */
   boundMs(watchers: number): number {
     return freshness.isolationBoundMs(this.options.peers.size(), watchers);
   }
@@ -170,9 +181,9 @@
     if (theirs > this.generation()) {
       await this.fetchFrom(address);
     }
-    // The peer's confirmation is for its generation: while that is not in
-    // force here, it says nothing about what is. Its age counts from before
-    // the request was sent, as the answer may have been long on its way.
+    // The peer's confirmation is for its own generation: until that is active
+    // here, it says nothing about this instance's. Its age counts from before
+    // the request was sent, since the answer may have been delayed on its way.
     if (answer.confirmedAgeMs !== undefined && this.generation() >= theirs) {
       this.freshness.confirm(sentAt - answer.confirmedAgeMs);
     }
@@ -211,23 +222,23 @@
   }
 
   /**
-   * The only place where the configuration in force changes. Answers may come
-   * late, while another source was quicker; `takeStep` lets only a higher
-   * generation through, so what is in force never reverts.
+   * The only place where the active configuration changes. An answer may come
+   * late, after another source was faster; `applyUpdate` accepts only a higher
+   * generation, so the active configuration never reverts.
    */
   private adopt(
     update: configurationUpdate.ConfigurationUpdate,
     origin: ConfigurationOrigin,
   ): void {
     const result = configurationUpdate.applyUpdate(this.current, update);
-    // A step that does not lead to its digest can not be mended by the next
-    // one from the same base: the whole is asked for instead.
+    // If a change does not lead to its digest, the next one from the same base
+    // won't either, so the whole configuration is requested instead.
     this.mustFetchWhole = result.isLeft()
       ? result.swap().unsafeCoerce().code === 'corrupt'
       : false;
-    result.ifRight(taken => {
-      this.current = taken;
-      this.options.onChange(taken, origin);
+    result.ifRight(updated => {
+      this.current = updated;
+      this.options.onChange(updated, origin);
     });
   }
 
--- a/packages/membership/src/configuration-source.ts
+++ b/packages/membership/src/configuration-source.ts
@@ -1,4 +1,6 @@
-/** Reads from the platform what an instance lacks of an accepted head. */
+/**
+ * Reads from the platform what an instance lacks of an accepted configuration.
+ */
 import type * as ports from '@amaranthknot/ports';
 import * as purify from 'purify-ts';
 import * as configurationHead from './configuration-head.js';
@@ -7,13 +9,17 @@
 import * as compareManifests from './util/compare-manifests.js';
 
 /**
- * Sections read at a time. A first start reads every section; eight at a time
- * keep it under a second at a few milliseconds a call, without a burst of
- * hundreds on the platform.
+ * Sections read in parallel. An instance that starts for the first time reads
+ * every section; with eight in parallel, at a few milliseconds a call, that
+ * takes less than a second and does not burst hundreds of calls on the
+ * platform.
  */
 const PARALLEL_READS = 8;
 
-/** Steps of the head from what is in force, when they reach back so far. */
+/**
+ * Deltas of the head from the active configuration on; undefined if they do not
+ * reach back so far.
+ */
 const listDeltas = (
   current: configurationUpdate.ActiveConfiguration | undefined,
   head: configurationHead.Head,
@@ -28,7 +34,10 @@
   'manifest' | 'history'
 >;
 
-/** Finds what is in the configuration, by the head alone if possible. */
+/**
+ * Reads the manifest and history of a configuration, from the head alone if
+ * possible.
+ */
 const readOutline = async (
   store: ports.ObjectStore,
   current: configurationUpdate.ActiveConfiguration | undefined,
@@ -75,7 +84,7 @@
   return purify.Right(contents);
 };
 
-/** Reads the step from what is in force to `head`. */
+/** Reads the update from the active configuration to `head`. */
 export const readUpdate = async (
   store: ports.ObjectStore,
   environment: string,
--- a/packages/membership/src/configuration-update.ts
+++ b/packages/membership/src/configuration-update.ts
@@ -1,11 +1,14 @@
-/** Moves a configuration to a later generation; never to an earlier one. */
+/**
+ * Applies updates that move a configuration to a later generation, never to an
+ * earlier one.
+ */
 import * as configuration from '@amaranthknot/configuration';
 import type * as protocol from '@amaranthknot/protocol';
 import * as purify from 'purify-ts';
 import * as sectionHistory from './section-history.js';
 import * as compareManifests from './util/compare-manifests.js';
 
-/** A whole, checked configuration. */
+/** A complete, checked configuration. */
 export interface ActiveConfiguration {
   readonly environment: string;
   readonly generation: number;
@@ -18,11 +21,11 @@
 }
 
 /**
- * Why a step was not taken.
+ * Reason why an update was not applied.
  *
- * - `not_newer`: the same or a later generation is in force.
- * - `other_base`: the step starts at a generation that is not in force here.
- * - `corrupt`: a content does not match its digest, or can not be joined.
+ * - `not_newer`: the same or a later generation is active.
+ * - `other_base`: the change starts at a generation that is not active here.
+ * - `corrupt`: contents do not match their digest, or can't be joined.
  */
 export interface UpdateError {
   readonly code: 'not_newer' | 'other_base' | 'corrupt';
@@ -40,12 +43,17 @@
   readonly generation: number;
   readonly digest: string;
   readonly manifest: configuration.Manifest;
-  /** Contents by digest; those that are in force already may be missing. */
+  /**
+   * Contents by digest; those that the active configuration has may be missing.
+   */
   readonly contents: ReadonlyMap<string, unknown>;
   readonly history: sectionHistory.SectionHistory;
 }
 
-/** Contents of a manifest's sections: those that are known, else the fresh. */
+/**
+ * Contents of a manifest's sections by digest: the known ones, and else the
+ * fresh ones.
+ */
 const pickSections = (
   manifest: configuration.Manifest,
   known: ReadonlyMap<string, unknown> | undefined,
@@ -59,9 +67,9 @@
   );
 
 /**
- * Takes a step from what is in force, if any. Only a higher generation is
- * taken: a stale answer of the platform, or a peer that lags, shows as the
- * same or a lower number and changes nothing.
+ * Applies an update to the active configuration, if any. Only a higher
+ * generation is accepted: a stale answer of the platform, or a peer that is
+ * behind, has the same or a lower one and changes nothing.
  */
 export const applyUpdate = (
   current: ActiveConfiguration | undefined,
@@ -69,10 +77,13 @@
 ): purify.Either<UpdateError, ActiveConfiguration> => {
   const {environment, generation, digest, manifest, history} = update;
   if (generation <= (current?.generation ?? 0)) {
-    return fail('not_newer', `generation ${generation} is not newer`);
+    return fail(
+      'not_newer',
+      `generation ${generation} is not newer than the active one`,
+    );
   }
   if (configuration.digestManifest(manifest) !== digest) {
-    return fail('corrupt', `the manifest does not match ${digest}`);
+    return fail('corrupt', `the manifest does not match its digest ${digest}`);
   }
   const sections = pickSections(manifest, current?.sections, update.contents);
   return configuration
@@ -92,14 +103,17 @@
     }));
 };
 
-/** Reads a peer's change as a step from what is in force. */
+/** Reads a peer's change as an update of the active configuration. */
 export const parseChange = (
   current: ActiveConfiguration | undefined,
   change: protocol.ConfigurationChange,
 ): purify.Either<UpdateError, ConfigurationUpdate> => {
   const {environment, generation, digest, baseGeneration, since} = change;
   if (baseGeneration !== undefined && baseGeneration !== current?.generation) {
-    return fail('other_base', `the step starts at ${baseGeneration}`);
+    return fail(
+      'other_base',
+      `the change starts at generation ${baseGeneration}, which is not active`,
+    );
   }
   const base = baseGeneration === undefined ? undefined : current;
   const sections = change.sections.map(({name, content}) => ({
@@ -130,9 +144,10 @@
 };
 
 /**
- * Describes the step to `to` from generation `have`, or from nothing when its
- * history does not reach back so far. It may name more sections than differ,
- * never fewer: what differs has changed since.
+ * Describes the change to `to` from generation `have`, or from nothing if the
+ * history of `to` does not reach back to `have`. The change may contain
+ * sections that do not differ, but never lacks one that does: each section that
+ * differs was changed after `have`.
  */
 export const createChange = (
   have: number,
--- a/packages/membership/src/directory.ts
+++ b/packages/membership/src/directory.ts
@@ -1,15 +1,20 @@
-/** Answers callers that ask which entry instances to use. */
+/**
+ * Orders the addresses of entry instances for callers that ask which to use.
+ */
 import type * as protocol from '@amaranthknot/protocol';
 
 /**
- * Time for which callers may keep an answer, in milliseconds. A leaving
- * instance keeps serving for longer than this after it stopped being offered,
- * so it bounds how long a planned stop takes; callers who ask once in 10 s add
- * next to nothing to the load.
+ * Time for which callers may cache an answer, in milliseconds. A leaving
+ * instance goes on serving for longer than this after it is no longer offered,
+ * so it bounds how long a planned stop takes. Callers that ask once in 10 s add
+ * almost no load.
  */
 export const DIRECTORY_MAX_AGE_MS = 10_000;
 
-/** Addresses in one answer; more than a caller can try before its deadline. */
+/**
+ * Maximum number of addresses in one answer; more than a caller can try before
+ * its deadline.
+ */
 const MAX_ADDRESSES = 8;
 
 /** Addresses of entry instances, the best first. */
@@ -25,10 +30,11 @@
 }
 
 /**
- * Orders instances for a caller in `zone`: its own zone first, then the
- * others. Instances that leave or are dead are never offered; suspects come
- * last, as one lost message is enough to be suspected. Within a group the
- * order is random, so that callers do not all pick the same instance.
+ * Orders instances for a caller in `zone`: its own zone first, then the others.
+ * Instances that leave or are dead are never offered. Suspect ones come last,
+ * but are offered, since one lost message is enough to become suspect. Within a
+ * group the order is random, so that callers do not all choose the same
+ * instance.
  */
 export const orderAddresses = (
   zone: string | undefined,
--- a/packages/membership/src/exchange-pacer.ts
+++ b/packages/membership/src/exchange-pacer.ts
@@ -1,26 +1,30 @@
-/** When an instance exchanges generations with the next peer. */
+/** Decides when an instance exchanges generations with the next peer. */
 import type * as ports from '@amaranthknot/ports';
 import * as tokenBucket from './util/token-bucket.js';
 
-/** Time between exchanges in milliseconds, spread by a tenth. */
+/** Time between exchanges, in milliseconds, with 10 % jitter. */
 const EXCHANGE_INTERVAL_MS = 1_000;
 
 /**
- * Exchanges that may follow each other at once after a change, and their rate
- * per second. Early exchanges bring a lone change to all in a moment; the rate
- * bounds them when changes come each second, at 4 KB/s a node.
+ * Exchanges that may follow each other at once after a change, their interval
+ * in milliseconds, and the rate of exchanges per second. Early exchanges bring
+ * a single change to all instances within moments; the rate bounds them when
+ * changes come each second, at 4 KB/s an instance.
  */
 const EARLY_EXCHANGES = 3;
 const EARLY_MS = 50;
 const EXCHANGES_PER_S = 1.1;
 
 /**
- * Share of the bound between exchanges while in doubt: 0.3 s at 7 instances.
- * At 1,000 the bound is long and the share makes no difference.
+ * Interval between exchanges while in doubt, as a fraction of the bound: 0.3 s
+ * at 7 instances. At 1,000 the bound is long and the fraction makes no
+ * difference.
  */
-const DOUBT_SHARE = 0.12;
+const DOUBT_FRACTION = 0.12;
 
-/** Paces exchanges: steady, early after a change, dense in doubt. */
+/**
+ * Paces exchanges: at a steady rate, early after a change, more often in doubt.
+ */
 export class ExchangePacer {
   private readonly tokens: tokenBucket.TokenBucket;
   private earlyLeft = 0;
@@ -38,32 +42,34 @@
     );
   }
 
-  /** A change came into force: peers should hear of it soon. */
+  /** Called when a change became active, so that peers learn of it soon. */
   expedite(): void {
     this.earlyLeft = EARLY_EXCHANGES - 1;
     this.waking.abort();
   }
 
-  /** Ends the present wait and all later ones. */
+  /** Ends the current wait and all later ones. */
   stop(): void {
     this.isStopped = true;
     this.waking.abort();
   }
 
-  /** An exchange begins. */
+  /** Called when an exchange begins. */
   begin(): void {
     this.tokens.take(this.clock.now());
     this.waking = new AbortController();
   }
 
   /**
-   * Waits for the next exchange. In doubt, with `boundMs` given, the case has
-   * to be judged before the bound is over: a platform that is out, or this
-   * instance cut off. Several looks at other zones fit into that time, so
-   * that an outage does not stop instances which merely had no luck.
+   * Waits until the next exchange is due.
+   *
+   * In doubt, `boundMs` is given: before it is over, the instance has to judge
+   * whether the platform is out or whether it is cut off itself. Several
+   * exchanges with other zones fit into that time, so that an outage does not
+   * stop instances which only drew the wrong peers.
    */
   async wait(boundMs = Infinity): Promise<void> {
-    const usualMs = Math.min(EXCHANGE_INTERVAL_MS, boundMs * DOUBT_SHARE);
+    const usualMs = Math.min(EXCHANGE_INTERVAL_MS, boundMs * DOUBT_FRACTION);
     const end = this.clock.now() + usualMs * (0.9 + 0.2 * this.random());
     if (this.earlyLeft === 0) {
       await this.clock.sleep(end - this.clock.now(), this.waking.signal);
--- a/packages/membership/src/generation-report.ts
+++ b/packages/membership/src/generation-report.ts
@@ -1,17 +1,20 @@
-/** Asks instances what is in force, for `apply --wait` and for operators. */
+/**
+ * Asks instances which generation is active, for `apply --wait` and for
+ * operators.
+ */
 import type * as ports from '@amaranthknot/ports';
 import * as protocol from '@amaranthknot/protocol';
 
-/** Instances asked at a time; 1,000 are asked in about 32 rounds. */
+/** Instances asked in parallel; 1,000 are asked in about 32 rounds. */
 const PARALLEL_CALLS = 32;
 
-/** Time between rounds of questions, in milliseconds. */
+/** Time between rounds of calls, in milliseconds. */
 const POLL_INTERVAL_MS = 250;
 
-/** Time for one question, in milliseconds. */
+/** Timeout of one call, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_000;
 
-/** What one instance said, or why it did not. */
+/** One instance's answer, or why there is none. */
 export interface GenerationReport {
   readonly id: string;
   readonly zone: string;
@@ -47,7 +50,7 @@
     .extract();
 };
 
-/** Asks each instance which generation is in force there. */
+/** Asks each instance which generation is active there. */
 export const collectGenerations = async (
   transport: protocol.PeerTransport,
   instances: readonly ReportedInstance[],
@@ -69,7 +72,7 @@
   readonly missing: readonly GenerationReport[];
 }
 
-/** What to wait for. */
+/** Settings of a wait for a generation. */
 export interface WaitOptions {
   readonly transport: protocol.PeerTransport;
   readonly clock: ports.Clock;
@@ -79,8 +82,8 @@
 }
 
 /**
- * Waits until all instances report `generation` or a later one, and says
- * where it is in force and where not when the time is up.
+ * Waits until all instances report `generation` or a later one, or until the
+ * time is over, and returns which of them do.
  */
 export const waitUntilActive = async (
   instances: readonly ReportedInstance[],
--- a/packages/membership/src/head-update.ts
+++ b/packages/membership/src/head-update.ts
@@ -1,17 +1,20 @@
-/** Moves the head of an environment, and settles lost answers. */
+/**
+ * Updates the head of an environment, and finds out the outcome of writes whose
+ * answers were lost.
+ */
 import type * as ports from '@amaranthknot/ports';
 import * as purify from 'purify-ts';
 import * as configurationHead from './configuration-head.js';
 
 /**
- * Why nothing, or perhaps something, was put in force.
+ * Reason why a publication failed, or why its outcome is unknown.
  *
- * - `conflict`: another publication came first; nothing of this one is in
- *   force. `generation` is the one that is.
+ * - `conflict`: another publication came first; nothing of this one is active.
+ *   `generation` is the active one.
  * - `not_found`: there is nothing to promote.
- * - `unavailable`: the platform did not take it; nothing is in force.
- * - `unknown`: answers were lost and could not be settled; read the head
- *   and look for `publication`.
+ * - `unavailable`: the platform did not accept it; nothing of it is active.
+ * - `unknown`: answers were lost and the outcome could not be found out; read
+ *   the head and look for `publication`.
  */
 export interface PublishError {
   readonly code: 'conflict' | 'not_found' | 'unavailable' | 'unknown';
@@ -20,7 +23,7 @@
   readonly publication?: string;
 }
 
-/** What was put in force. */
+/** The generation that a publication made active. */
 export interface Publication {
   readonly generation: number;
   readonly digest: string;
@@ -30,13 +33,14 @@
 export type PublishResult<T> = purify.Either<PublishError, T>;
 
 /**
- * Tries for each call to the platform. Answers of a healthy platform take
- * milliseconds, so three tries ride over a lost answer or two, while an
- * operator in an outage is told at once instead of adding to the load.
+ * Maximum number of attempts for each call to the platform. A healthy platform
+ * answers within milliseconds, so three attempts get past a lost answer or two,
+ * while in an outage the operator gets an error soon and does not add to the
+ * load.
  */
 export const MAX_ATTEMPTS = 3;
 
-/** The error for a publication that another one came before. */
+/** The error for a publication that lost against another one. */
 export const describeConflict = (
   environment: string,
   generation: number | undefined,
@@ -48,7 +52,7 @@
   ...(generation === undefined ? {} : {generation}),
 });
 
-/** One conditional move of a head. */
+/** One conditional update of a head. */
 export interface HeadUpdate {
   readonly store: ports.ObjectStore;
   readonly environment: string;
@@ -74,10 +78,10 @@
       );
 
 /**
- * Finds out whether a write without an answer took effect: the head names the
- * latest publications, so ours is among them also when another publication
- * already followed. Undefined while only the old head is seen, which may be a
- * stale answer.
+ * Finds out whether a write without an answer took effect. The head names the
+ * latest publications, so this one is among them even if another publication
+ * followed already. Returns undefined while only the old head is seen, which
+ * may be a stale answer.
  */
 const resolveLostWrite = async (
   update: HeadUpdate,
@@ -96,11 +100,13 @@
 };
 
 /**
- * Moves the head. The failure guarded against is an answer lost after the
- * write took effect: a plain retry would then report a conflict with itself,
- * and an operator would apply twice or believe it failed. The write is
- * conditional on the base version, so repeating it can not apply twice, and
- * after a conflict the head tells whose publication won.
+ * Updates the head.
+ *
+ * Guards against an answer that is lost after the write took effect: a plain
+ * retry would report a conflict with itself, and an operator would apply twice
+ * or believe that it failed. The write is conditional on the base version, so
+ * repeating it can't apply twice, and after a conflict the head shows whose
+ * publication won.
  */
 export const updateHead = async (
   update: HeadUpdate,
@@ -108,7 +114,7 @@
   const done = {generation: update.head.generation, digest: update.head.digest};
   let mayHaveWritten = false;
   let message = '';
-  for (let tries = 0; tries < MAX_ATTEMPTS; tries++) {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
     const result = await writeHead(update);
     if (result.isRight()) {
       return purify.Right(done);
@@ -119,9 +125,9 @@
     if (error.code === 'unavailable') {
       continue;
     }
-    const settled = await resolveLostWrite(update);
-    if (settled) {
-      return settled.map(() => done);
+    const resolved = await resolveLostWrite(update);
+    if (resolved) {
+      return resolved.map(() => done);
     }
     if (!mayHaveWritten) {
       return purify.Left(describeConflict(update.environment, undefined));
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,4 +1,7 @@
-/** Peers, leases, duties and configuration relay. */
+/**
+ * Peers, leases, leased tasks, and the configuration that entry instances
+ * follow.
+ */
 export * from './configuration-follower.js';
 export * from './configuration-head.js';
 export * from './configuration-publisher.js';
--- a/packages/membership/src/lease-keeper.ts
+++ b/packages/membership/src/lease-keeper.ts
@@ -2,69 +2,73 @@
  * A lease in the platform's object API: at most one holder may act at a time.
  *
  * Clocks of instances are never compared. The holder counts its time from
- * before it sent the write that the platform took; another instance counts
- * from when it saw that write, which is later, and takes over by an update
- * that is conditional on having seen the latest one.
+ * before it sent the write that the platform accepted. Another instance counts
+ * from when it saw that write, which is later, and takes over by an update that
+ * is conditional on the version that it saw last.
  */
 import type * as ports from '@amaranthknot/ports';
 import * as purify from 'purify-ts';
 
-/** Kind of the lease objects. */
+/** Object kind of the leases. */
 export const LEASE_KIND = 'lease';
 
 /**
- * Time that a lease lasts without renewal, in milliseconds. Short enough that
- * a roll-out or pool is without its keeper for little more than 10 s after a
- * kill; long enough to ride over two lost renewals.
+ * Time for which a lease is valid without renewal, in milliseconds. It is short
+ * enough that a roll-out or pool has no holder for little more than 10 s after
+ * a kill, and long enough that two renewals may be lost.
  */
 export const LEASE_MS = 10_000;
 
 /**
- * Share of the lease that the holder uses. The rest covers clocks that run at
- * rates differing by far more than quartz does.
+ * Fraction of the lease that the holder uses. The rest covers clocks whose
+ * rates differ by far more than those of quartz clocks do.
  */
-const HOLDER_SHARE = 0.9;
+const HOLDER_FRACTION = 0.9;
 
-/** What a lease object holds. */
+/** Contents of a lease object. */
 interface LeaseRecord {
-  /** Instance that holds it; empty when released. */
+  /** Id of the instance that holds it; empty if released. */
   readonly holder: string;
-  /** Unique for each keeper, so that a lost answer can be settled. */
+  /**
+   * Unique for each keeper, so that the outcome of a write can be found out
+   * after its answer was lost.
+   */
   readonly token: string;
-  /** Number of the keeper's write. */
+  /** Sequence number of the keeper's write. */
   readonly write: number;
   readonly leaseMs: number;
 }
 
 /**
- * Why a lease is not held.
+ * Reason why a lease is not held.
  *
- * - `held`: another holder has it, or won the race.
- * - `unavailable`: the platform did not answer usefully; try again.
+ * - `held`: another holder has it, or won the race, or the term expired.
+ * - `unavailable`: the platform gave no usable answer; try again.
  */
 export interface LeaseError {
   readonly code: 'held' | 'unavailable';
   readonly message: string;
 }
 
-/** A lease as its holder has it. */
+/** A term of a lease, as its holder has it. */
 export interface LeaseTerm {
   /**
-   * Version of the write that began this term. Later terms have higher ones:
-   * an upstream that keeps the highest refuses orders of earlier holders.
+   * Object version of the write that began this term. Later terms have higher
+   * ones, so an upstream that keeps the highest refuses orders of earlier
+   * holders.
    */
   readonly fencing: number;
 }
 
-/** Parts that a keeper works with. */
+/** Dependencies and settings of a `LeaseKeeper`. */
 export interface LeaseKeeperOptions {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
   /** Name of what is leased. */
   readonly name: string;
-  /** Identity of this instance. */
+  /** Id of this instance. */
   readonly holder: string;
-  /** Unique for each keeper that is created, never used again. */
+  /** Unique for each keeper that is created; never reused. */
   readonly token: string;
   readonly leaseMs?: number;
 }
@@ -83,7 +87,7 @@
   error: ports.StoreError,
 ): purify.Either<LeaseError, never> => fail('unavailable', error.message);
 
-/** Takes, renews and gives up one lease for one instance. */
+/** Acquires, renews and releases one lease for one instance. */
 export class LeaseKeeper {
   private readonly leaseMs: number;
   private term: LeaseTerm | undefined;
@@ -92,7 +96,7 @@
   /** Version of the lease object as last known. */
   private version = 0;
   private write = 0;
-  /** When each write that is not yet settled was sent. */
+  /** When each write whose outcome is not yet known was sent. */
   private readonly sentAt = new Map<number, number>();
   private observation: Observation | undefined;
 
@@ -101,11 +105,13 @@
   }
 
   /**
-   * Whether an order may be given now; asked before each one. The failure
-   * guarded against: a holder paused past its lease wakes and goes on giving
-   * orders beside its successor. The monotonic clock has moved on meanwhile,
-   * so the first look after the pause already says no. A pause between this
-   * look and the order itself is covered by the fencing number.
+   * Whether an order may be given now. Call it before each one.
+   *
+   * Guards against a holder that is paused past its lease, resumes, and goes on
+   * giving orders beside its successor. The monotonic clock has advanced
+   * meanwhile, so the first check after the pause already returns false. A
+   * pause between this check and the order itself is covered by the fencing
+   * number.
    */
   mayAct(): boolean {
     return this.term !== undefined && this.options.clock.now() < this.actsUntil;
@@ -116,7 +122,7 @@
     return this.mayAct() ? this.term : undefined;
   }
 
-  /** Takes the lease if it is free or has lapsed. */
+  /** Acquires the lease if it is free or has expired. */
   async acquire(): Promise<purify.Either<LeaseError, LeaseTerm>> {
     this.endTerm();
     const {store, name} = this.options;
@@ -134,10 +140,10 @@
   async renew(): Promise<purify.Either<LeaseError, LeaseTerm>> {
     const {store, name} = this.options;
     if (!this.mayAct()) {
-      // A lapsed term is not revived, though nobody may have taken over yet:
-      // a new one gets a new fencing number.
+      // An expired term is not renewed, though nobody may have taken over yet:
+      // a new term gets a new fencing number.
       this.endTerm();
-      return fail('held', `the lease ${name} lapsed`);
+      return fail('held', `lease ${name} is not held here any more`);
     }
     const result = await this.send(record =>
       store.update(LEASE_KIND, name, record, this.version),
@@ -150,21 +156,21 @@
     return result;
   }
 
-  /** Gives the lease up, so that the next holder need not wait. */
+  /** Releases the lease, so that the next holder need not wait. */
   async release(): Promise<void> {
     const {store, name, token} = this.options;
     if (!this.term) {
       return;
     }
-    // No order after this point, whatever becomes of the write below: when it
-    // is lost, the lease lapses.
+    // No order is allowed after this point, whatever becomes of the write
+    // below: if it is lost, the lease expires.
     this.endTerm();
     const record = {holder: '', token, write: ++this.write, leaseMs: 0};
     const result = await store.update(LEASE_KIND, name, record, this.version);
     if (result.isRight()) {
       return;
     }
-    // A renewal whose answer was lost may have moved the version.
+    // A renewal whose answer was lost may have changed the version.
     const read = await store.get(LEASE_KIND, name);
     const object = read.toMaybe().extract();
     if (object && (object.value as LeaseRecord).token === token) {
@@ -186,8 +192,8 @@
       this.observation = {version: object.version, at: clock.now()};
     }
     const isFree = record.holder === '' || record.token === token;
-    const isLapsed = clock.now() - this.observation.at >= record.leaseMs;
-    if (!isFree && !isLapsed) {
+    const isExpired = clock.now() - this.observation.at >= record.leaseMs;
+    if (!isFree && !isExpired) {
       return Promise.resolve(fail('held', `${record.holder} holds ${name}`));
     }
     return this.send(next =>
@@ -221,9 +227,10 @@
   }
 
   /**
-   * Finds out whose lease it is after a lost answer or a conflict, which may
-   * be with an earlier write of this keeper whose answer was lost. The token
-   * in the object says whose write took effect and which one.
+   * Finds out who holds the lease after a lost answer or a conflict. A conflict
+   * may be with an earlier write of this keeper whose answer was lost. The
+   * token and write number in the object show whose write took effect, and
+   * which one.
    */
   private async resolveOutcome(): Promise<
     purify.Either<LeaseError, LeaseTerm>
@@ -243,7 +250,10 @@
     }
     return this.sentAt.has(record.write)
       ? purify.Right(this.grant(object))
-      : fail('unavailable', 'an earlier write is still the latest');
+      : fail(
+          'unavailable',
+          'the write did not take effect; an earlier one is the latest',
+        );
   }
 
   private grant(object: ports.StoredObject): LeaseTerm {
@@ -258,7 +268,7 @@
     this.term ??= {fencing: object.version};
     this.actsUntil = Math.max(
       this.actsUntil,
-      sentAt + this.leaseMs * HOLDER_SHARE,
+      sentAt + this.leaseMs * HOLDER_FRACTION,
     );
     return this.term;
   }
--- a/packages/membership/src/leased-task-runner.ts
+++ b/packages/membership/src/leased-task-runner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs named duties, such as one roll-out or the orders to one pool, each on
- * one instance at a time: the one that holds the duty's lease.
+ * Runs named leased tasks, such as one roll-out or the orders to one pool. Each
+ * runs on one instance at a time: the one that holds the task's lease.
  */
 import * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
@@ -8,42 +8,45 @@
 import type * as peerTable from './peer-table.js';
 
 /**
- * Instances that try to take a duty's lease: its best by rendezvous hash. Two,
- * so that one may die; were it all, 1,000 instances would each read each
- * lease, beyond what the platform takes.
+ * Number of instances that compete for a task's lease, chosen by rendezvous
+ * hash. Two, so that one may die. If all 1,000 instances read each lease, that
+ * would exceed what the platform accepts.
  */
 export const TASK_CANDIDATES = 2;
 
 /**
- * Time between renewals, and between looks at a lease held elsewhere, in
- * milliseconds, spread by a tenth. Two renewals may be lost before a lease of
- * 10 s lapses.
+ * Time between renewals, and between checks of a lease held elsewhere, in
+ * milliseconds, with 10 % jitter. A lease lasts 10 s, so two renewals may be
+ * lost before it expires.
  */
 const RENEWAL_INTERVAL_MS = 3_000;
 
-/** What a duty's work gets. */
+/** The term during which a task may run, as passed to its work. */
 export interface TaskTerm {
-  /** Number to send with each order; a later holder's is higher. */
+  /** Fencing number to send with each order; later holders have higher ones. */
   readonly fencing: number;
-  /** Whether an order may be given now; asked before each one. */
+  /** Whether an order may be given now. Call it before each one. */
   mayAct(): boolean;
-  /** Aborts when the duty must stop: lease lost, or instance leaving. */
+  /**
+   * Aborts when the task must stop: the lease is lost, or the instance leaves.
+   */
   readonly signal: AbortSignal;
 }
 
 /**
- * A duty's work. It returns soon after the signal aborts, or when it has
- * nothing left to do; it is then run again on whoever takes the lease.
+ * The work of a task. It returns soon after the signal aborts, or when it has
+ * nothing left to do; it is then run again on the instance that next takes the
+ * lease.
  */
 export type LeasedTask = (term: TaskTerm) => Promise<void>;
 
-/** Parts that a runner works with. */
+/** Dependencies and settings of a `LeasedTaskRunner`. */
 export interface LeasedTaskRunnerOptions {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
   readonly random: () => number;
   readonly peers: peerTable.PeerTable;
-  /** Draws a token that is never drawn again, anywhere. */
+  /** Creates a token that is globally unique. */
   readonly createToken: () => string;
   readonly leaseMs?: number;
 }
@@ -54,14 +57,16 @@
   readonly keeper: leaseKeeper.LeaseKeeper;
 }
 
-/** Runs duties on this instance while it holds their leases. */
+/** Runs tasks on this instance while it holds their leases. */
 export class LeasedTaskRunner {
   private readonly tasks = new Map<string, RunningTask>();
   private isStopped = false;
 
   constructor(private readonly options: LeasedTaskRunnerOptions) {}
 
-  /** Begins to compete for a duty; a name that is known is left alone. */
+  /**
+   * Begins to compete for a task's lease. Does nothing if the name is known.
+   */
   add(name: string, work: LeasedTask): void {
     if (this.isStopped || this.tasks.has(name)) {
       return;
@@ -80,7 +85,7 @@
     this.tasks.set(name, {stopping, done, keeper});
   }
 
-  /** Stops a duty here and gives its lease up. */
+  /** Stops a task here and releases its lease. */
   async remove(name: string): Promise<void> {
     const task = this.tasks.get(name);
     this.tasks.delete(name);
@@ -88,7 +93,7 @@
     await task?.done;
   }
 
-  /** Names of the duties that this instance may act on now; sorted. */
+  /** Names of the tasks that this instance may act on now; sorted. */
   heldTasks(): readonly string[] {
     return [...this.tasks]
       .filter(([, task]) => task.keeper.mayAct())
@@ -97,9 +102,9 @@
   }
 
   /**
-   * Hands all duties over: work stops first, then the leases are given up, so
-   * that successors begin at once instead of after a lapse. Called before the
-   * instance leaves; afterwards it takes no more.
+   * Hands over all tasks: their work stops, then their leases are released, so
+   * that successors begin at once instead of after the leases expire. Called
+   * before the instance leaves; afterwards it accepts no more tasks.
    */
   async stop(): Promise<void> {
     this.isStopped = true;
@@ -123,7 +128,10 @@
     }
   }
 
-  /** Works and renews until the work is done, the lease lost, or a stop. */
+  /**
+   * Runs the work and renews the lease until the work is done, the lease is
+   * lost, or the task is stopped.
+   */
   private async hold(
     term: leaseKeeper.LeaseTerm,
     work: LeasedTask,
@@ -137,13 +145,13 @@
       mayAct: () => keeper.mayAct() && !signal.aborted,
       signal: AbortSignal.any([signal, lost.signal]),
     })
-      // A duty that fails is tried again, here or elsewhere, after a while;
-      // its own log says why.
+      // A task that fails is run again after a while, here or elsewhere; its
+      // own log gives the reason.
       .catch(() => undefined)
       .finally(() => ended.abort());
     await this.renew(keeper, AbortSignal.any([signal, ended.signal]));
     lost.abort();
-    // The lease is kept until the work has stopped, and not renewed.
+    // The lease is held, but not renewed, until the work has stopped.
     await working;
     await keeper.release();
   }
--- a/packages/membership/src/peer-discovery.ts
+++ b/packages/membership/src/peer-discovery.ts
@@ -1,27 +1,32 @@
-/** Finds entry instances by the platform's list, or by addresses given. */
+/**
+ * Finds entry instances from the platform's list, or from configured addresses.
+ */
 import type * as ports from '@amaranthknot/ports';
 import * as protocol from '@amaranthknot/protocol';
 import * as configurationRelay from './configuration-relay.js';
 import type * as peerTable from './peer-table.js';
 
 /**
- * Time between reads of the platform's list, and the rate of the whole fleet
- * that it must not exceed: 1,000 instances read it every 50 s.
+ * Minimum time between reads of the platform's list, and the rate of the whole
+ * fleet that it must not exceed: 1,000 instances each read it every 50 s.
  */
 const MIN_LIST_INTERVAL_MS = 5_000;
 const LISTS_PER_S = 20;
 
-/** Parts that discovery works with. */
+/** Dependencies and settings of a `PeerDiscovery`. */
 export interface PeerDiscoveryOptions {
   readonly instances: ports.InstanceList;
   readonly transport: protocol.PeerTransport;
   readonly peers: peerTable.PeerTable;
   readonly clock: ports.Clock;
-  /** Addresses from the settings, asked while the list is out. */
+  /**
+   * Addresses from the settings, called while the platform's list is
+   * unavailable.
+   */
   readonly seeds?: readonly string[];
 }
 
-/** Keeps `peers` up to date with the platform's list. */
+/** Keeps the peer table up to date with the platform's list. */
 export class PeerDiscovery {
   constructor(private readonly options: PeerDiscoveryOptions) {}
 
@@ -31,7 +36,9 @@
     return Math.max(MIN_LIST_INTERVAL_MS, (size / LISTS_PER_S) * 1_000);
   }
 
-  /** Reads the list; while it is out and nobody is known, asks the seeds. */
+  /**
+   * Reads the list. If it is unavailable and no peer is known, asks the seeds.
+   */
   async refresh(): Promise<void> {
     const {instances, peers, clock} = this.options;
     const listed = await instances.list();
--- a/packages/membership/src/peer-table.ts
+++ b/packages/membership/src/peer-table.ts
@@ -1,38 +1,39 @@
 /**
- * Which entry instances exist and live, as one instance sees it: the
- * platform's lagging list, corrected by signs of life, failed exchanges and
- * news that ride on exchanges. Pure: time and random numbers are arguments.
+ * Which entry instances exist and live, as one instance sees it: the platform's
+ * list, which lags, corrected by signs of life, failed exchanges, and news sent
+ * with exchanges. Pure: time and random numbers are arguments.
  */
 import type * as ports from '@amaranthknot/ports';
 import type * as protocol from '@amaranthknot/protocol';
 
 /**
- * Time from suspicion to death, in milliseconds, and what each doubling of the
- * fleet adds. A suspected instance hears of it through news and refutes it by
- * a higher incarnation; news reaches 7 instances in about 2 s and 1,000 in
- * about 10 s at one exchange each second.
+ * Time after which a suspect instance counts as dead, in milliseconds, and what
+ * each doubling of the fleet adds. A suspect learns of the suspicion through
+ * news and refutes it by a higher incarnation. At one exchange each second,
+ * news reaches 7 instances in about 2 s and 1,000 in about 10 s.
  */
 const SUSPICION_MS = 3_000;
 const SUSPECT_PER_DOUBLING_MS = 700;
 
 /**
- * Time that a dead instance is remembered, in milliseconds, so that old news
+ * Time for which a dead instance is kept, in milliseconds, so that old news
  * does not bring it back, and zones that fell silent still count as zones.
  */
 const DEAD_RETENTION_MS = 600_000;
 
 /**
- * Times that a piece of news is passed on, per doubling of the fleet. Three
- * reach all but a few in ten thousand; the platform's list covers the rest.
+ * How often a piece of news is passed on, per doubling of the fleet. Three
+ * times reach all but a few in ten thousand instances; the platform's list
+ * covers the rest.
  */
 const NEWS_PER_DOUBLING = 3;
 
 /**
- * Share of exchanges tried with instances held for suspect or dead: enough
- * that two halves of a healed network find each other again, few enough that
- * timeouts do not slow the spread of a change.
+ * Fraction of exchanges that are attempted with suspect or dead instances. It
+ * is large enough that two halves of a network find each other again after a
+ * partition, and small enough that timeouts do not slow the spread of a change.
  */
-const DOUBTFUL_SHARE = 0.1;
+const DOUBTFUL_FRACTION = 0.1;
 
 const RANKS: Readonly<Record<protocol.PeerState, number>> = {
   live: 0,
@@ -54,9 +55,9 @@
   (a.incarnation === b.incarnation && RANKS[a.state] > RANKS[b.state]);
 
 /**
- * Whether others should be told. That a listed instance lives is known from
- * the list; told again when a whole fleet starts, it would fill the messages
- * of minutes.
+ * Whether a row is passed on as news. That a listed instance lives is known
+ * from the list; if it were passed on as well when a whole fleet starts, it
+ * would fill the messages of several minutes.
  */
 const isNews = (peer: protocol.Peer, before: Row | undefined): boolean => {
   const wasListedLive = before?.isListed && before.peer.state === 'live';
@@ -68,21 +69,21 @@
 /** The entry instances as one of them sees them. */
 export class PeerTable {
   private readonly rows = new Map<string, Row>();
-  /** Instances still to come in this round of draws. */
+  /** Ids of the instances that are not yet drawn in this round. */
   private readonly round: string[] = [];
 
   /**
    * @param selfPeer this instance; each start has a higher incarnation, for
-   * instance the wall time of the start in milliseconds.
+   *     instance the wall time of the start in milliseconds.
    */
   constructor(private selfPeer: protocol.Peer) {}
 
-  /** This instance as it presents itself. */
+  /** This instance's own row, as sent to peers. */
   self(): protocol.Peer {
     return this.selfPeer;
   }
 
-  /** All instances but this one; dead ones included. */
+  /** All other instances, dead ones included. */
   all(): readonly protocol.Peer[] {
     return [...this.rows.values()].map(row =>
       row.isListedLeaving && row.peer.state === 'live'
@@ -91,25 +92,27 @@
     );
   }
 
-  /** Instances that are not dead, this one included. */
+  /** Number of instances that are not dead, this one included. */
   size(): number {
     return 1 + this.all().filter(peer => peer.state !== 'dead').length;
   }
 
-  /** Instances that take on lasting work: neither leaving nor dead. */
+  /**
+   * Instances that may be given long-running tasks: neither leaving nor dead.
+   */
   candidates(zone?: string): readonly protocol.Peer[] {
     return [this.selfPeer, ...this.all()]
       .filter(peer => peer.state === 'live' || peer.state === 'suspect')
       .filter(peer => zone === undefined || peer.zone === zone);
   }
 
-  /** Zones that have, or lately had, instances; sorted. */
+  /** Zones that have instances, or had some lately; sorted. */
   zones(): readonly string[] {
     const zones = [this.selfPeer, ...this.all()].map(peer => peer.zone);
     return [...new Set(zones)].sort();
   }
 
-  /** Takes in the platform's list, which lags and may lack newcomers. */
+  /** Merges the platform's list, which lags and may lack new instances. */
   applyList(listed: readonly ports.ListedInstance[], now: number): void {
     const entries = listed.filter(
       ({role, id}) => role === 'entry' && id !== this.selfPeer.id,
@@ -127,33 +130,34 @@
       }
     }
     for (const [id, row] of this.rows) {
-      // Never heard of but through an older list: it is gone.
+      // Known only from an earlier list, so it is gone.
       if (!row.isListed && row.peer.incarnation === 0) {
         this.rows.delete(id);
       }
     }
   }
 
-  /** Takes in news that came with an exchange. */
+  /** Merges news that came with an exchange. */
   applyNews(rows: readonly protocol.Peer[], now: number): void {
     for (const peer of rows) {
       this.merge(peer, now);
     }
   }
 
-  /** Takes in what an instance said of itself just now: it lives. */
+  /** Records an instance's own row, just received from it: it lives. */
   recordContact(peer: protocol.Peer, now: number): void {
     const row = this.rows.get(peer.id);
     if (row?.peer.incarnation !== peer.incarnation) {
       this.merge(peer, now);
       return;
     }
-    // Suspected at this very incarnation: alive to this instance at once. The
-    // others learn it when the suspect hears of the rumour and refutes it.
+    // If it is suspect at this incarnation, this instance counts it as live at
+    // once. The others learn that when the suspect hears of the suspicion and
+    // refutes it.
     row.peer = peer;
   }
 
-  /** An exchange with the instance failed. */
+  /** Records that an exchange with the instance failed. */
   recordFailure(id: string, now: number): void {
     const peer = this.rows.get(id)?.peer;
     switch (peer?.state) {
@@ -161,7 +165,7 @@
         this.merge({...peer, state: 'suspect'}, now);
         return;
       case 'leaving':
-        // It said that it would go, so its silence needs no second look.
+        // It announced that it leaves, so one failure is enough.
         this.merge({...peer, state: 'dead'}, now);
         return;
       case 'suspect':
@@ -171,7 +175,7 @@
     }
   }
 
-  /** Announces that this instance leaves. */
+  /** Sets this instance's row to leaving, with a higher incarnation. */
   markLeaving(): void {
     this.selfPeer = {
       ...this.selfPeer,
@@ -180,7 +184,7 @@
     };
   }
 
-  /** Declares overdue suspects dead, and forgets those long dead. */
+  /** Declares suspects dead after their time, and removes those long dead. */
   expire(now: number): void {
     const suspectMs =
       SUSPICION_MS + SUSPECT_PER_DOUBLING_MS * Math.log2(this.size());
@@ -200,15 +204,15 @@
   }
 
   /**
-   * Draws an instance to exchange with; undefined when none is known. Each
-   * live one comes once in a shuffled round, which bounds the time until a
-   * given one is heard again, as plain draws do not.
+   * Draws an instance to exchange with; undefined if none is known. Each live
+   * one is drawn once in a shuffled round, which bounds the time until a given
+   * one is heard again; independent draws do not.
    *
-   * @param doubtfulShare share of draws among suspect and dead instances.
+   * @param doubtfulFraction fraction of draws among suspect and dead instances.
    */
   draw(
     random: () => number,
-    doubtfulShare = DOUBTFUL_SHARE,
+    doubtfulFraction = DOUBTFUL_FRACTION,
   ): protocol.Peer | undefined {
     const doubtful = this.all().filter(
       ({state}) => state === 'suspect' || state === 'dead',
@@ -216,7 +220,7 @@
     const others = this.all().filter(
       ({state}) => state === 'live' || state === 'leaving',
     );
-    const isDoubtful = others.length === 0 || random() < doubtfulShare;
+    const isDoubtful = others.length === 0 || random() < doubtfulFraction;
     if (isDoubtful && doubtful.length > 0) {
       return doubtful[Math.floor(random() * doubtful.length)];
     }
@@ -224,21 +228,22 @@
   }
 
   /**
-   * News for `receiver`, at most `limit` rows, least told first. What is held
-   * against the receiver itself comes first, so that it can refute it.
+   * Selects news for `receiver`, at most `limit` rows, those passed on least
+   * often first. A suspicion of the receiver itself precedes them, so that it
+   * can refute it.
    */
   selectNews(receiver: string, limit: number): protocol.Peer[] {
     const about = this.rows.get(receiver);
-    const accused =
+    const suspicion =
       about && RANKS[about.peer.state] >= RANKS.suspect ? [about.peer] : [];
-    const told = [...this.rows.values()]
+    const selected = [...this.rows.values()]
       .filter(row => row.transmissionsLeft > 0 && row !== about)
       .sort((a, b) => b.transmissionsLeft - a.transmissionsLeft)
-      .slice(0, limit - accused.length);
-    for (const row of told) {
+      .slice(0, limit - suspicion.length);
+    for (const row of selected) {
       row.transmissionsLeft--;
     }
-    return [...accused, ...told.map(row => row.peer)];
+    return [...suspicion, ...selected.map(row => row.peer)];
   }
 
   private drawInRound(
@@ -287,17 +292,19 @@
   }
 
   /**
-   * Answers a rumour of this instance's death. The failure: one lost exchange
-   * makes a peer suspect a healthy instance, which callers would no longer
-   * be offered. Only the instance itself raises its incarnation, so its word
-   * beats every rumour of the earlier one.
+   * Refutes news that this instance is suspect or dead.
+   *
+   * Guards against one lost exchange that makes a peer suspect a healthy
+   * instance, which would then no longer be offered to callers. Only the
+   * instance itself raises its incarnation, so its row overrides all news about
+   * the earlier one.
    */
-  private refute(rumour: protocol.Peer): void {
-    const isAccused = RANKS[rumour.state] >= RANKS.suspect;
-    if (isAccused && rumour.incarnation >= this.selfPeer.incarnation) {
+  private refute(news: protocol.Peer): void {
+    const isSuspected = RANKS[news.state] >= RANKS.suspect;
+    if (isSuspected && news.incarnation >= this.selfPeer.incarnation) {
       this.selfPeer = {
         ...this.selfPeer,
-        incarnation: rumour.incarnation + 1,
+        incarnation: news.incarnation + 1,
       };
     }
   }
--- a/packages/membership/src/section-history.ts
+++ b/packages/membership/src/section-history.ts
@@ -1,11 +1,11 @@
 /**
- * Which generation last changed each section. With it an instance describes
- * the step from any later generation to its own, also from one that it never
- * had: it skips generations that come together.
+ * Which generation last changed each section. From it, an instance describes
+ * the change from any later generation to its own, even from one that it never
+ * had because it skipped generations that came together.
  */
 import type * as configurationHead from './configuration-head.js';
 
-/** A section's name with the generation that changed or removed it. */
+/** A section's name, and the generation that changed or removed it. */
 export interface SectionChange {
   readonly name: string;
   readonly generation: number;
@@ -19,19 +19,20 @@
 }
 
 /**
- * Removals kept. Peers are behind by seconds, in which operators remove a few
- * sections at most; past the bound older peers get the whole configuration.
+ * Maximum number of removals kept. Peers are behind by seconds, in which
+ * operators remove a few sections at most. Peers that are further behind get
+ * the whole configuration.
  */
 const MAX_REMOVALS = 256;
 
-/** The history of no configuration at all, complete from the beginning. */
+/** The history of an empty configuration, complete from the beginning. */
 export const EMPTY_HISTORY: SectionHistory = {
   changedAt: new Map(),
   removedAt: new Map(),
   since: 0,
 };
 
-/** The history of an instance that knows nothing before `generation`. */
+/** A history that knows nothing before `generation`. */
 export const startHistory = (
   names: readonly string[],
   generation: number,
@@ -41,7 +42,7 @@
   since: generation,
 });
 
-/** Adds changes and removals, of whichever generation each is. */
+/** Adds changes and removals, each with its own generation. */
 export const extendHistory = (
   history: SectionHistory,
   changed: readonly SectionChange[],
@@ -75,7 +76,7 @@
   };
 };
 
-/** Adds the steps of a head, oldest first. */
+/** Adds the deltas of a head, oldest first. */
 export const applyHeadDeltas = (
   history: SectionHistory,
   steps: readonly configurationHead.HeadDelta[],
@@ -90,7 +91,7 @@
     history,
   );
 
-/** Names and generations of a map, of those after `generation`. */
+/** Lists the changes after `generation`. */
 export const listChangesAfter = (
   changes: ReadonlyMap<string, number>,
   generation: number,
--- a/packages/membership/src/util/compare-manifests.ts
+++ b/packages/membership/src/util/compare-manifests.ts
@@ -7,7 +7,7 @@
   readonly digest: string;
 }
 
-/** What has to change in one manifest to get another. */
+/** What to change in one manifest to get another. */
 export interface ManifestDifference {
   readonly entries: readonly SectionEntry[];
   readonly removed: readonly string[];
--- a/packages/membership/src/util/token-bucket.ts
+++ b/packages/membership/src/util/token-bucket.ts
@@ -1,6 +1,6 @@
-/** Allows a steady rate with short bursts. */
+/** A token bucket: allows a steady rate with short bursts. */
 
-/** A bucket that starts full; time is an argument, in milliseconds. */
+/** A bucket that starts full. Time is an argument, in milliseconds. */
 export class TokenBucket {
   private tokens: number;
 
@@ -20,7 +20,7 @@
     this.filledAt = now;
   }
 
-  /** Time until there is a token. */
+  /** Time until a token is available, in milliseconds; 0 if one is. */
   waitMs(now: number): number {
     const earned = ((now - this.filledAt) / 1_000) * this.perSecond;
     const missing = 1 - this.tokens - earned;
--- a/packages/membership/tests/configuration-follower.test.ts
+++ b/packages/membership/tests/configuration-follower.test.ts
@@ -2,16 +2,16 @@
 import * as membership from '@amaranthknot/membership';
 import * as fleets from './fleet.js';
 
-const SPREAD_MS = 3_000;
+const PROPAGATION_MS = 3_000;
 
 describe('ConfigurationFollower', () => {
   it('brings a change to all instances within 3 s', async () => {
     const fleet = await fleets.createFleet(1);
-    chai.expect(fleet.isInForce(1)).equal(true);
+    chai.expect(fleet.isActive(1)).equal(true);
     await fleet.publish('v2');
     const isDone = await fleet.clock.advanceUntil(
-      () => fleet.isInForce(2),
-      SPREAD_MS,
+      () => fleet.isActive(2),
+      PROPAGATION_MS,
     );
     chai.expect(isDone).equal(true);
     const versions = fleet.members.map(
@@ -22,27 +22,27 @@
     chai.expect(new Set(versions)).eql(new Set(['v2']));
   });
 
-  // An operator withdraws a version; some callers still get it for minutes.
-  // The platform answers reads with what it held before, to instances that
-  // have the newer configuration already and to one that just started.
-  it('does not go back when the platform answers stale', async () => {
+  // Guards against callers that still get a withdrawn version: the platform
+  // answers reads with old data, to instances that have the newer configuration
+  // and to one that just started.
+  it('does not revert when the platform gives stale answers', async () => {
     const fleet = await fleets.createFleet(2);
     await fleet.publish('v2');
-    await fleet.clock.advance(SPREAD_MS);
+    await fleet.clock.advance(PROPAGATION_MS);
     fleet.store.fault = operation => (operation === 'get' ? 'stale' : 'none');
-    const late = fleet.add();
-    void late.follower.start();
+    const added = fleet.add();
+    void added.follower.start();
     await fleet.clock.advance(30_000);
     chai
-      .expect(fleet.members.map(member => member.taken.at(-1)))
+      .expect(fleet.members.map(member => member.activated.at(-1)))
       .eql(fleet.members.map(() => 2));
-    for (const {taken} of fleet.members) {
-      chai.expect(taken).eql([...taken].sort((a, b) => a - b));
+    for (const {activated} of fleet.members) {
+      chai.expect(activated).eql([...activated].sort((a, b) => a - b));
     }
   });
 
-  // One zone keeps an old configuration although its instances are healthy:
-  // all of its watchers died just before the change.
+  // Guards against a zone that keeps an old configuration because all of its
+  // watchers died just before the change.
   it('brings a change to a zone whose watchers died', async () => {
     const fleet = await fleets.createFleet(3, 12, ['a', 'b', 'c']);
     const watchers = fleet.members.filter(
@@ -52,30 +52,30 @@
     chai.expect(watchers.length).equal(membership.WATCHERS_PER_ZONE);
     await fleet.publish('v2');
     const isDone = await fleet.clock.advanceUntil(
-      () => fleet.isInForce(2),
-      SPREAD_MS,
+      () => fleet.isActive(2),
+      PROPAGATION_MS,
     );
     chai.expect(isDone).equal(true);
   });
 
-  // One instance can not reach the platform, its peers can. It must follow
-  // along and go on taking work, as it learns of every change in time.
-  it('follows by its peers when cut from the platform', async () => {
+  // One instance can't reach the platform, but its peers can. It learns of
+  // every change in time, so it must go on taking work.
+  it('follows through its peers when cut off from the platform', async () => {
     const fleet = await fleets.createFleet(4);
     const [cut] = fleet.members;
     cut!.isCutFromPlatform = true;
     await fleet.clock.advance(20_000);
     await fleet.publish('v2');
     const isDone = await fleet.clock.advanceUntil(
-      () => fleet.isInForce(2),
-      SPREAD_MS,
+      () => fleet.isActive(2),
+      PROPAGATION_MS,
     );
     chai.expect(isDone).equal(true);
     chai.expect(cut!.follower.standing()).equal('confirmed');
   });
 
-  // The platform is down for long and an instance is replaced meanwhile. The
-  // new one must serve what the others serve, not wait for the platform.
+  // An instance is replaced during a long outage of the platform. The new one
+  // must serve what the others serve, without waiting for the platform.
   for (const isListOut of [false, true]) {
     const list = isListOut ? 'without' : 'with';
     it(`starts from peers in an outage, ${list} the list`, async () => {
@@ -83,16 +83,16 @@
       fleet.store.fault = () => 'down';
       fleet.isListOut = isListOut;
       await fleet.clock.advance(10_000);
-      const late = fleet.add();
-      void late.follower.start();
+      const added = fleet.add();
+      void added.follower.start();
       await fleet.clock.advance(5_000);
-      chai.expect(late.follower.activeGeneration()).equal(1);
-      chai.expect(late.follower.mayTakeWork()).equal(true);
+      chai.expect(added.follower.activeGeneration()).equal(1);
+      chai.expect(added.follower.mayTakeWork()).equal(true);
     });
   }
 
-  // The platform's outage lasts ten minutes. Nobody can accept a change in
-  // it, so every instance goes on taking work.
+  // In an outage of the platform nobody can accept a change, so every instance
+  // must go on taking work.
   it('takes work through an outage of the platform', async () => {
     const fleet = await fleets.createFleet(6);
     fleet.store.fault = () => 'down';
@@ -103,8 +103,8 @@
     }
   });
 
-  // An operator takes a zone out and it gets new work a minute later: one
-  // instance was cut off from platform and peers just before, and went on.
+  // Guards against new work in a zone that was taken out, on an instance that
+  // was cut off from platform and peers just before.
   it('takes no work 3 s after it was cut off from all', async () => {
     const fleet = await fleets.createFleet(7);
     for (const member of fleet.members) {
@@ -119,19 +119,19 @@
     }
   });
 
-  // Peers can not be reached, the platform can. The instance need not stop:
+  // An instance that can reach the platform, but not its peers, must not stop:
   // it watches the platform itself, though it is not one of the watchers.
-  it('watches the platform itself when cut from its peers', async () => {
+  it('watches the platform itself when cut off from its peers', async () => {
     const fleet = await fleets.createFleet(8, 12, ['a', 'b', 'c']);
     const cut = fleet.members.find(({follower}) => !follower.isWatcher());
     cut!.isCutFromPeers = true;
-    // Before it holds enough peers for dead to be first in its zone.
+    // Too short for it to count enough peers as dead to be first in its zone.
     await fleet.clock.advance(5_000);
     chai.expect(cut!.follower.standing()).equal('confirmed');
     await fleet.publish('v2');
     const isDone = await fleet.clock.advanceUntil(
-      () => fleet.isInForce(2),
-      SPREAD_MS,
+      () => fleet.isActive(2),
+      PROPAGATION_MS,
     );
     chai.expect(isDone).equal(true);
     chai.expect(cut!.follower.standing()).equal('confirmed');
--- a/packages/membership/tests/configuration-history.test.ts
+++ b/packages/membership/tests/configuration-history.test.ts
@@ -7,15 +7,15 @@
 
 const STEP_MS = 1_000;
 const STEPS = 45;
-const HEAL_MS = 15_000;
+const RECOVERY_MS = 15_000;
 
 /**
- * No new work on a configuration that was replaced this long ago: the bound
- * for the fleet below, with replaced instances still counted.
+ * Time after which no new work may start on a configuration that was replaced:
+ * the bound for the fleet below, with replaced instances still counted.
  */
 const EXPOSURE_MS = membership.isolationBoundMs(16, 9);
 
-/** What one process had in force at a moment. */
+/** The active generation of one process at one moment. */
 interface Sample {
   readonly at: number;
   readonly process: string;
@@ -25,11 +25,11 @@
 
 interface History {
   readonly samples: readonly Sample[];
-  /** When each generation was first seen accepted, by generation. */
+  /** Time at which each generation was accepted, by generation. */
   readonly acceptedAt: ReadonlyMap<number, number>;
 }
 
-/** Finds the first fault of a history; undefined when there is none. */
+/** Finds the first violation in a history; undefined if there is none. */
 const checkHistory = (history: History): string | undefined => {
   const {samples, acceptedAt} = history;
   const last = new Map<string, number>();
@@ -52,7 +52,7 @@
   return late && `${late.process} ends at ${late.generation} of ${newest}`;
 };
 
-/** So many that one instance of each zone is no watcher. */
+/** So many that one instance of each zone is not a watcher. */
 const MEMBERS = 12;
 
 /** At most two at a time, so that most zones still reach the platform. */
@@ -79,8 +79,8 @@
   }),
 );
 
-/** Faults planted into one member, which the checks must show. */
-interface Plant {
+/** Faults injected into one instance, which the checks must find. */
+interface InjectedFault {
   readonly clock?: (clock: ports.Clock) => ports.Clock;
   readonly staysCut?: boolean;
   readonly isOneProcess?: boolean;
@@ -89,13 +89,13 @@
 const runHistory = async (
   seed: number,
   actions: readonly Action[],
-  plant: Plant = {},
+  injected: InjectedFault = {},
 ): Promise<History> => {
   const fleet = new fleets.Fleet(seed, ['a', 'b', 'c']);
   await fleet.publish('v1');
   const names = new Map<fleets.Member, string>();
   const start = (name: string): fleets.Member => {
-    const clock = plant.clock?.(fleet.clock) ?? fleet.clock;
+    const clock = injected.clock?.(fleet.clock) ?? fleet.clock;
     const added = fleet.add(names.size === 0 ? clock : fleet.clock);
     names.set(added, name);
     void added.follower.start();
@@ -116,7 +116,8 @@
       case 'wait':
         return;
       case 'publish':
-        // Built on a stale read it is refused, and accepted by nobody.
+        // A publication built on a stale read is refused, so its generation is
+        // not accepted.
         (await fleet.publish(`v${acceptedAt.size + 1}`)).ifRight(done => {
           acceptedAt.set(done.generation, fleet.clock.now());
         });
@@ -133,7 +134,7 @@
         const old = slots[step.member]!;
         fleet.kill(old);
         const name = names.get(old) ?? '';
-        const next = plant.isOneProcess ? name : `${name}'`;
+        const next = injected.isOneProcess ? name : `${name}'`;
         slots[step.member] = start(next);
         return;
       }
@@ -166,21 +167,21 @@
   }
   fleet.store.fault = () => 'none';
   slots.forEach(heal);
-  slots[1]!.isCutFromPeers = plant.staysCut ?? false;
-  slots[1]!.isCutFromPlatform = plant.staysCut ?? false;
-  await fleet.clock.advance(HEAL_MS);
+  slots[1]!.isCutFromPeers = injected.staysCut ?? false;
+  slots[1]!.isCutFromPlatform = injected.staysCut ?? false;
+  await fleet.clock.advance(RECOVERY_MS);
   sample();
   slots.forEach(each => fleet.kill(each));
   return {samples, acceptedAt};
 };
 
-const check = (seed: number, numRuns: number, plant: Plant = {}) =>
+const check = (seed: number, numRuns: number, injected: InjectedFault = {}) =>
   fc.check(
     fc.asyncProperty(
       fc.nat(),
       fc.array(action, {minLength: STEPS, maxLength: STEPS}),
       async (run, actions) => {
-        const fault = checkHistory(await runHistory(run, actions, plant));
+        const fault = checkHistory(await runHistory(run, actions, injected));
         if (fault !== undefined) {
           throw new Error(fault);
         }
@@ -192,8 +193,8 @@
 const messageOf = (details: {readonly errorInstance: unknown}): string =>
   details.errorInstance instanceof Error ? details.errorInstance.message : '';
 
-describe('history of the configuration in force', () => {
-  it('never reverts, is not used when replaced, and reaches all', async () => {
+describe('history of the active configuration', () => {
+  it('never reverts, is not used long after it is replaced, and reaches all', async () => {
     const details = await check(
       historyRuns.historySeed(21),
       historyRuns.historyRuns(15),
@@ -201,19 +202,19 @@
     chai.expect(messageOf(details)).equal('');
   });
 
-  const plants: readonly {
+  const injectedFaults: readonly {
     readonly name: string;
-    readonly plant: Plant;
+    readonly injected: InjectedFault;
     readonly found: RegExp;
   }[] = [
     {
-      name: 'a process that forgets what it had in force',
-      plant: {isOneProcess: true},
+      name: 'a process that forgets its active configuration',
+      injected: {isOneProcess: true},
       found: /reverts/,
     },
     {
-      name: 'an instance whose clock is slow, and so believes too long',
-      plant: {
+      name: 'an instance with a slow clock, which takes work for too long',
+      injected: {
         clock: clock => ({
           ...clock,
           now: () => clock.now() / 8,
@@ -225,13 +226,13 @@
     },
     {
       name: 'an instance that a change never reaches',
-      plant: {staysCut: true},
+      injected: {staysCut: true},
       found: /ends at/,
     },
   ];
-  for (const {name, plant, found} of plants) {
-    it(`shows ${name}`, async () => {
-      const details = await check(22, 200, plant);
+  for (const {name, injected, found} of injectedFaults) {
+    it(`finds ${name}`, async () => {
+      const details = await check(22, 200, injected);
       chai.expect(messageOf(details)).match(found);
     });
   }
--- a/packages/membership/tests/configuration-publisher.test.ts
+++ b/packages/membership/tests/configuration-publisher.test.ts
@@ -19,7 +19,7 @@
     expected,
   );
 
-/** Version that the document in force names; undefined when there is none. */
+/** Version that the active document names; undefined if there is none. */
 const readMark = async (store: Store, environment = PRODUCTION) => {
   store.fault = () => 'none';
   const head = await membership.readHead(store, environment);
@@ -37,7 +37,7 @@
     .mapLeft(error => error.code)
     .extract();
 
-/** Faults of the first calls of one operation on heads, then none. */
+/** Injects faults into the first calls of one operation on heads, one each. */
 const failHeads = (
   store: Store,
   operation: fakes.StoreOperation,
@@ -51,8 +51,8 @@
 };
 
 describe('publishDocument', () => {
-  // An operator applies, the connection breaks, and the tool says that it
-  // failed or that another operator was first, while the change is in force.
+  // Guards against an operator who is told that the change failed, or that
+  // another operator was first, while the change is active.
   const lost: readonly {
     readonly name: string;
     readonly operation: fakes.StoreOperation;
@@ -111,7 +111,7 @@
     },
   ];
   for (const {name, operation, faults, code, mark} of lost) {
-    it(`tells the truth when it loses ${name}`, async () => {
+    it(`reports the true outcome when it loses ${name}`, async () => {
       const store = createStore();
       await publish(store, 'v1');
       failHeads(store, operation, faults);
@@ -120,9 +120,9 @@
     });
   }
 
-  // The answer of an apply is lost and the platform then answers reads with
-  // the head of before: a plain retry reports a conflict with itself.
-  it('settles a lost answer though reads are stale', async () => {
+  // The answer is lost and the platform then answers reads with the old head. A
+  // plain retry would report a conflict with itself.
+  it('finds out the outcome of a lost answer though reads are stale', async () => {
     const store = createStore();
     await publish(store, 'v1');
     const updates: fakes.StoreFault[] = ['lost_after'];
@@ -136,9 +136,9 @@
     chai.expect(codeOf(await publish(store, 'v2'))).equal('done');
   });
 
-  // The answer is lost, and before it is settled a second operator builds on
-  // the change. It was in force, so it must not be reported as a conflict.
-  it('finds itself in force before a later publication', async () => {
+  // The answer is lost, and a second operator publishes before its outcome is
+  // found out. The change was active, so it must not be reported as a conflict.
+  it('reports success though another publication followed', async () => {
     const store = createStore();
     await publish(store, 'v1');
     let isLost = false;
@@ -164,9 +164,9 @@
     chai.expect(await readMark(store)).equal('v3');
   });
 
-  // Two operators apply at the same moment. Both are told that it worked, and
-  // half of each is in force.
-  it('gives two operators one winner and a clear conflict', async () => {
+  // Guards against two operators who apply at the same moment and are both told
+  // that it worked, with half of each active.
+  it('gives one of two operators a conflict with the generation of the other', async () => {
     const store = createStore();
     await publish(store, 'v1');
     const results = await Promise.all([
@@ -195,9 +195,9 @@
     });
   }
 
-  // An apply is killed half way. Instances run a mixture of old and new
-  // parts, or the next apply builds on the half.
-  it('leaves nothing in force when it ends before any of its calls', async () => {
+  // Guards against an apply that is killed half way: instances would run a
+  // mixture of old and new sections, or the next apply would build on it.
+  it('activates nothing when it ends before any of its calls', async () => {
     for (let calls = 0; ; calls++) {
       const store = createStore();
       await publish(store, 'v1');
@@ -215,10 +215,10 @@
 });
 
 describe('publishDocument without its sections', () => {
-  // The platform drops the writes of sections but takes the head: every
-  // instance then looks for a section that does not exist.
+  // The platform drops the writes of sections. If it took the head, every
+  // instance would look for a section that does not exist.
   for (const fault of ['down', 'lost_before'] as const) {
-    it(`moves no head when sections are ${fault}`, async () => {
+    it(`does not update the head when sections are ${fault}`, async () => {
       const store = createStore();
       await publish(store, 'v1');
       store.fault = (operation, kind) =>
@@ -243,7 +243,7 @@
     return {store, digest: tried.unsafeCoerce().digest};
   };
 
-  it('puts the same digest in force elsewhere', async () => {
+  it('activates the same digest in another environment', async () => {
     const {store, digest} = await createPair();
     const result = await membership.promoteDocument(
       store,
@@ -255,8 +255,8 @@
     chai.expect(await readMark(store)).equal('v2');
   });
 
-  // While one operator promotes what was tried, another applies to the trial
-  // environment: something untried goes to production.
+  // Guards against an untried document in production: while one operator
+  // promotes, another applies to the trial environment.
   it('promotes nothing when the trial environment has moved on', async () => {
     const {store, digest} = await createPair();
     await membership.publishDocument(store, TRIAL, fleets.createDocument('v9'));
@@ -270,8 +270,8 @@
     chai.expect(await readMark(store)).equal('v1');
   });
 
-  // While one operator promotes, another applies to production: one of them
-  // wins, and the other is told so.
+  // While one operator promotes, another applies to production. One of them
+  // wins, and the other gets a conflict.
   it('has one winner against an apply at the same moment', async () => {
     const {store, digest} = await createPair();
     const results = await Promise.all([
@@ -283,7 +283,7 @@
     chai.expect(await readMark(store)).equal(winner);
   });
 
-  it('has nothing to promote from an empty environment', async () => {
+  it('answers not_found for an empty environment', async () => {
     const store = createStore();
     const result = await membership.promoteDocument(store, TRIAL, PRODUCTION);
     chai.expect(codeOf(result)).equal('not_found');
--- a/packages/membership/tests/configuration-update.test.ts
+++ b/packages/membership/tests/configuration-update.test.ts
@@ -9,7 +9,10 @@
 const refuse: protocol.PeerTransport = () =>
   Promise.resolve(purify.Left({code: 'not_sent', message: 'none'}));
 
-/** Relays, without peers unless given, fed with heads straight from a store. */
+/**
+ * Relays that read heads from a store; they have no peers unless a transport is
+ * given.
+ */
 const createFixture = () => {
   const clock = new fakes.VirtualClock();
   const store = new fakes.MemoryObjectStore({clock});
@@ -31,76 +34,76 @@
   const publish = async (document: configuration.Document) => {
     await membership.publishDocument(store, fleets.ENVIRONMENT, document);
   };
-  const follow = async (relay: membership.ConfigurationRelay) => {
+  const adoptLatest = async (relay: membership.ConfigurationRelay) => {
     const read = await membership.readHead(store, fleets.ENVIRONMENT);
     const stored = read.unsafeCoerce();
     await relay.adoptHead(stored!.head);
     return relay.activeConfiguration()!;
   };
-  return {clock, createRelay, publish, follow};
+  return {clock, createRelay, publish, adoptLatest};
 };
 
-const zoned = (state: configuration.ZoneState): configuration.Document => ({
+const withZone = (state: configuration.ZoneState): configuration.Document => ({
   ...fleets.createDocument('v1'),
   zones: [{name: 'a', state}],
 });
 
-const without = (): configuration.Document => ({
+const withoutZone = (): configuration.Document => ({
   ...fleets.createDocument('v1'),
   zones: [],
 });
 
-describe('configuration steps', () => {
+describe('configuration changes', () => {
   const paths: readonly {
     readonly name: string;
     readonly documents: readonly configuration.Document[];
   }[] = [
-    {name: 'changed', documents: [zoned('in'), zoned('out')]},
+    {name: 'changed', documents: [withZone('in'), withZone('out')]},
     {
       name: 'changed and changed back',
-      documents: [zoned('in'), zoned('out'), zoned('in')],
+      documents: [withZone('in'), withZone('out'), withZone('in')],
     },
-    {name: 'removed', documents: [zoned('in'), without()]},
+    {name: 'removed', documents: [withZone('in'), withoutZone()]},
     {
       name: 'removed and added again',
-      documents: [zoned('in'), without(), zoned('out')],
+      documents: [withZone('in'), withoutZone(), withZone('out')],
     },
-    {name: 'added', documents: [without(), zoned('in')]},
+    {name: 'added', documents: [withoutZone(), withZone('in')]},
   ];
 
-  // A zone is taken out and in again. An instance that has the middle
-  // generation gets a step from one that skipped it, and goes on without the
-  // last change, or can not follow any more.
+  // A zone is taken out and in again. An instance with the middle generation
+  // gets a change from one that skipped it. It must not miss the last change,
+  // nor become unable to follow.
   for (const {name, documents} of paths) {
-    it(`lead from each generation to the last when a part is ${name}`, async () => {
-      const {createRelay, publish, follow} = createFixture();
+    it(`lead from each generation to the last when a section is ${name}`, async () => {
+      const {createRelay, publish, adoptLatest} = createFixture();
       const skipping = createRelay();
       const stages: membership.ActiveConfiguration[] = [];
       for (const [index, document] of documents.entries()) {
         await publish(document);
-        stages.push(await follow(createRelay()));
+        stages.push(await adoptLatest(createRelay()));
         if (index === 0) {
-          await follow(skipping);
+          await adoptLatest(skipping);
         }
       }
-      const last = await follow(skipping);
+      const last = await adoptLatest(skipping);
       for (const stage of stages.slice(0, -1)) {
         const change = membership.createChange(stage.generation, last);
-        const taken = membership
+        const updated = membership
           .parseChange(stage, change)
           .chain(step => membership.applyUpdate(stage, step));
-        chai.expect(taken.unsafeCoerce().document).eql(last.document);
+        chai.expect(updated.unsafeCoerce().document).eql(last.document);
         chai.expect(change.baseGeneration).equal(stage.generation);
       }
     });
   }
 
-  it('are refused when they are old, altered or of another base', async () => {
-    const {createRelay, publish, follow} = createFixture();
-    await publish(zoned('in'));
-    const first = await follow(createRelay());
-    await publish(zoned('out'));
-    const last = await follow(createRelay());
+  it('are refused when they are old, altered or from another base', async () => {
+    const {createRelay, publish, adoptLatest} = createFixture();
+    await publish(withZone('in'));
+    const first = await adoptLatest(createRelay());
+    await publish(withZone('out'));
+    const last = await adoptLatest(createRelay());
     const change = membership.createChange(1, last);
     const altered = {
       ...change,
@@ -130,45 +133,45 @@
     }
   });
 
-  it('give the whole to one behind the history', async () => {
-    const {createRelay, publish, follow} = createFixture();
+  it('contain the whole configuration for a generation before the history', async () => {
+    const {createRelay, publish, adoptLatest} = createFixture();
     for (let i = 0; i < 5; i++) {
-      await publish(zoned(i % 2 === 0 ? 'in' : 'out'));
+      await publish(withZone(i % 2 === 0 ? 'in' : 'out'));
     }
-    const late = await follow(createRelay());
+    const late = await adoptLatest(createRelay());
     const change = membership.createChange(1, late);
     chai.expect(change.baseGeneration).equal(undefined);
-    const taken = membership
+    const updated = membership
       .parseChange(undefined, change)
       .chain(step => membership.applyUpdate(undefined, step));
-    chai.expect(taken.unsafeCoerce().document).eql(late.document);
+    chai.expect(updated.unsafeCoerce().document).eql(late.document);
   });
 });
 
 describe('ConfigurationRelay', () => {
-  // The platform answers a watch with an older head than is in force. It must
-  // not count as a word of the platform on what is in force now.
-  it('does not take an older head for a confirmation', async () => {
-    const {createRelay, publish, follow} = createFixture();
-    await publish(zoned('in'));
+  // The platform answers a watch with a head that is older than the active one.
+  // That must not count as a confirmation of the active one.
+  it('is not confirmed by an older head', async () => {
+    const {createRelay, publish, adoptLatest} = createFixture();
+    await publish(withZone('in'));
     const relay = createRelay();
-    const {digest} = await follow(relay);
-    await publish(zoned('out'));
-    await follow(relay);
+    const {digest} = await adoptLatest(relay);
+    await publish(withZone('out'));
+    await adoptLatest(relay);
     const old = {generation: 1, digest, steps: [], publications: []};
     chai.expect(await relay.adoptHead(old)).equal(false);
     chai.expect(relay.generation()).equal(2);
   });
 
-  // A zone is taken out. One instance hears that there is something newer,
-  // can not fetch it, and goes on as confirmed, as its peer is.
+  // Guards against an instance that hears of a newer generation, can't fetch
+  // it, and takes over the confirmation of its peer.
   const answers = [
     {name: 'lost', isLost: true, generation: 1, isConfirmed: false},
     {name: 'given', isLost: false, generation: 2, isConfirmed: true},
   ];
   for (const {name, isLost, generation, isConfirmed} of answers) {
     it(`is confirmed by a newer peer only with sections ${name}`, async () => {
-      const {clock, createRelay, publish, follow} = createFixture();
+      const {clock, createRelay, publish, adoptLatest} = createFixture();
       const ahead = createRelay();
       const exchangeGenerations = (
         params: protocol.Params<'exchange_generations'>,
@@ -182,11 +185,11 @@
       const behind = createRelay(async (_address, text) =>
         purify.Right(await server.handle(text)),
       );
-      await publish(zoned('in'));
-      await follow(behind);
-      await follow(ahead);
-      await publish(zoned('out'));
-      await follow(ahead);
+      await publish(withZone('in'));
+      await adoptLatest(behind);
+      await adoptLatest(ahead);
+      await publish(withZone('out'));
+      await adoptLatest(ahead);
       ahead.freshness.confirm(clock.now());
       await behind.exchangeWith({
         id: 'b',
--- a/packages/membership/tests/fleet.ts
+++ b/packages/membership/tests/fleet.ts
@@ -1,4 +1,7 @@
-/** A fleet of followers in virtual time, for stories and histories. */
+/**
+ * A fleet of configuration followers in virtual time, for tests of scenarios
+ * and histories.
+ */
 import type * as configuration from '@amaranthknot/configuration';
 import * as fakes from '@amaranthknot/fakes';
 import * as membership from '@amaranthknot/membership';
@@ -15,7 +18,7 @@
   return () => distribution.uniformFloat64(source);
 };
 
-/** A document whose one model has `mark` in its name of a version. */
+/** A document in which the version of the model `small` is named `mark`. */
 export const createDocument = (mark: string): configuration.Document => ({
   models: [
     {
@@ -38,14 +41,14 @@
   rollouts: [],
 });
 
-/** One instance with the switches that cut it off. */
+/** One instance, with switches that cut it off. */
 export interface Member {
   readonly id: string;
   readonly peer: protocol.Peer;
   readonly peers: membership.PeerTable;
   readonly follower: membership.ConfigurationFollower;
-  /** Generations in the order in which they came into force. */
-  readonly taken: number[];
+  /** Generations in the order in which they became active. */
+  readonly activated: number[];
   isCutFromPlatform: boolean;
   isCutFromPeers: boolean;
   isDown: boolean;
@@ -54,7 +57,7 @@
 const NO_ANSWER: protocol.PeerError = {code: 'unknown', message: 'cut'};
 const DOWN = {code: 'unavailable', message: 'cut'} as const;
 
-/** The store as a member sees it: out of reach while it is cut off. */
+/** The store as one instance sees it: unavailable while it is cut off. */
 export const guardStore = (
   store: ports.ObjectStore,
   isCut: () => boolean,
@@ -95,7 +98,7 @@
     this.random = createRandom(seed);
   }
 
-  /** Adds an instance; it is started by the caller. */
+  /** Adds an instance; the caller starts it. */
   add(clock: ports.Clock = this.clock): Member {
     const index = this.members.length;
     const id = `entry-${index}`;
@@ -107,26 +110,26 @@
       state: 'live',
       incarnation: this.clock.wallTime(),
     };
-    const taken: number[] = [];
+    const activated: number[] = [];
     const peers = new membership.PeerTable(peer);
     const follower = new membership.ConfigurationFollower({
       environment: ENVIRONMENT,
       store: guardStore(this.store, () => member.isCutFromPlatform),
       instances: {list: () => Promise.resolve(this.list())},
       transport: (address, text, timeoutMs) =>
-        this.carry(member, address, text, timeoutMs),
+        this.send(member, address, text, timeoutMs),
       peers,
       clock,
       random: this.random,
       seeds: this.members.map(each => each.peer.address),
-      onChange: ({generation}) => taken.push(generation),
+      onChange: ({generation}) => activated.push(generation),
     });
     const member: Member = {
       id,
       peer,
       peers,
       follower,
-      taken,
+      activated,
       isCutFromPlatform: false,
       isCutFromPeers: false,
       isDown: false,
@@ -135,7 +138,7 @@
     return member;
   }
 
-  /** Adds and starts `count` instances and lets them settle. */
+  /** Adds and starts `count` instances, and gives them 5 s to settle. */
   async grow(count: number): Promise<void> {
     for (let i = 0; i < count; i++) {
       void this.add().follower.start();
@@ -143,7 +146,9 @@
     await this.clock.advance(5_000);
   }
 
-  /** Publishes a document and lets the platform's answers arrive. */
+  /**
+   * Publishes a document, and advances the clock until the platform answered.
+   */
   async publish(mark: string, expectedGeneration?: number) {
     const publishing = membership.publishDocument(
       this.store,
@@ -155,14 +160,17 @@
     return await publishing;
   }
 
-  /** Whether all instances that are up have this generation in force. */
-  isInForce(generation: number): boolean {
+  /**
+   * Whether this generation or a later one is active on all instances that are
+   * up.
+   */
+  isActive(generation: number): boolean {
     return this.members
       .filter(member => !member.isDown)
       .every(member => member.follower.activeGeneration() >= generation);
   }
 
-  /** Kills an instance: its loops end and nobody reaches it. */
+  /** Kills an instance: its loops end, and calls to it get no answer. */
   kill(member: Member): void {
     member.isDown = true;
     void member.follower.stop();
@@ -184,7 +192,7 @@
     );
   }
 
-  private async carry(
+  private async send(
     from: Member,
     address: string,
     text: string,
@@ -205,7 +213,7 @@
   }
 }
 
-/** A fleet as large as today's: 7 instances in 4 zones, with a first document. */
+/** A fleet, by default of 7 instances in 4 zones, with a first document. */
 export const createFleet = async (
   seed: number,
   count = 7,
--- a/packages/membership/tests/generation-report.test.ts
+++ b/packages/membership/tests/generation-report.test.ts
@@ -4,7 +4,7 @@
 import * as purify from 'purify-ts';
 import * as fleets from './fleet.js';
 
-/** A transport of an operator, who reaches all instances that are up. */
+/** The transport of an operator, who reaches all instances that are up. */
 const connect =
   (fleet: fleets.Fleet): protocol.PeerTransport =>
   async (address, text) => {
@@ -36,8 +36,8 @@
   return outcome!;
 };
 
-describe('waitInForce', () => {
-  it('ends when a change is in force on all instances', async () => {
+describe('waitUntilActive', () => {
+  it('ends when a change is active on all instances', async () => {
     const fleet = await fleets.createFleet(1);
     await fleet.publish('v2');
     const outcome = await waitFor(fleet, 2);
@@ -45,9 +45,9 @@
     chai.expect(outcome.missing).eql([]);
   });
 
-  // An operator takes a zone out and is told that it worked, while one
-  // instance is dead and another one cut off and still on the old document.
-  it('names the instances where a change is not in force', async () => {
+  // Guards against a success reported to an operator while one instance is dead
+  // and another one is cut off with the old document.
+  it('lists the instances where a change is not active', async () => {
     const fleet = await fleets.createFleet(2);
     const [dead, cut] = fleet.members;
     fleet.kill(dead!);
@@ -56,13 +56,13 @@
     await fleet.publish('v2');
     const {inForce, missing} = await waitFor(fleet, 2);
     chai.expect(inForce.length).equal(5);
-    const said = missing.map(({id, generation, standing, error}) => ({
+    const reported = missing.map(({id, generation, standing, error}) => ({
       id,
       generation,
       standing,
       code: error?.code,
     }));
-    chai.expect(said).eql([
+    chai.expect(reported).eql([
       {
         id: dead!.id,
         generation: undefined,
--- a/packages/membership/tests/history-runs.ts
+++ b/packages/membership/tests/history-runs.ts
@@ -1,9 +1,9 @@
-/** How many histories a check runs, from which seed. */
+/** Number of histories that a check runs, and its seed. */
 
-/** Runs in CI; `HISTORY_RUNS` asks for more. */
+/** Number of runs, `usual` in CI; `HISTORY_RUNS` sets another. */
 export const historyRuns = (usual: number): number =>
   Number(process.env.HISTORY_RUNS ?? usual);
 
-/** Seed in CI; `HISTORY_SEED` asks for another. */
+/** Seed, `usual` in CI; `HISTORY_SEED` sets another. */
 export const historySeed = (usual: number): number =>
   Number(process.env.HISTORY_SEED ?? usual);
--- a/packages/membership/tests/lease-history.test.ts
+++ b/packages/membership/tests/lease-history.test.ts
@@ -9,7 +9,9 @@
 const STEP_MS = 500;
 const STEPS = 120;
 
-/** One moment of a history: who may act, and under which number. */
+/**
+ * One moment of a history: the holders that may act, and their fencing numbers.
+ */
 interface Moment {
   readonly at: number;
   readonly acting: readonly {
@@ -18,7 +20,7 @@
   }[];
 }
 
-/** Finds the first fault of a history; undefined when there is none. */
+/** Finds the first violation in a history; undefined if there is none. */
 const checkHistory = (history: readonly Moment[]): string | undefined => {
   const owners = new Map<number, string>();
   let highest = 0;
@@ -40,7 +42,7 @@
   return undefined;
 };
 
-/** A clock that a pause may stop, as a faulty one would. */
+/** A clock that, if faulty, stands still during a pause. */
 class PausableClock implements ports.Clock {
   private behind = 0;
   private pausedAt: number | undefined;
@@ -98,7 +100,7 @@
   };
 };
 
-/** What happens to one holder, or to the platform, at a step. */
+/** An action on one holder, or a fault of the platform, at one step. */
 type Action =
   | {readonly kind: 'slow'; readonly holder: number; readonly answerMs: number}
   | {
@@ -230,7 +232,7 @@
   );
 
 describe('history of a lease', () => {
-  it('has at most one that may act, fencing numbers growing', async () => {
+  it('has at most one holder that may act, and rising fencing numbers', async () => {
     const details = await checkSeeds(
       historyRuns.historySeed(11),
       historyRuns.historyRuns(600),
@@ -239,7 +241,7 @@
     chai.expect(details.counterexample).equal(null);
   });
 
-  it('has somebody act in most histories', async () => {
+  it('has a holder that acts in most histories', async () => {
     const actions = fc.sample(fc.array(action, RUN_ACTIONS), {
       seed: 12,
       numRuns: 10,
@@ -253,9 +255,9 @@
     chai.expect(busy.length).greaterThan(7);
   });
 
-  // Planted: the clock of a holder stands still while it is paused, so that
-  // it believes in its lease when it wakes.
-  it('shows a holder whose clock stood still', async () => {
+  // Injected fault: the clock of a holder stands still while it is paused, so
+  // that it still takes its lease as valid when it resumes.
+  it('finds a holder whose clock stood still', async () => {
     const details = await checkSeeds(13, 200, true);
     chai.expect(details.failed).equal(true);
   });
@@ -266,18 +268,18 @@
     readonly found: RegExp;
   }[] = [
     {
-      name: 'a number that falls',
+      name: 'a fencing number that falls',
       acting: [[{holder: 'a', fencing: 2}], [{holder: 'b', fencing: 1}]],
       found: /after 2/,
     },
     {
-      name: 'a number used twice',
+      name: 'a fencing number that is used twice',
       acting: [[{holder: 'a', fencing: 2}], [{holder: 'b', fencing: 2}]],
       found: /twice/,
     },
   ];
   for (const {name, acting, found} of cases) {
-    it(`shows ${name}`, () => {
+    it(`finds ${name}`, () => {
       const history = acting.map((each, at) => ({at, acting: each}));
       chai.expect(checkHistory(history)).match(found);
     });
--- a/packages/membership/tests/lease-keeper.test.ts
+++ b/packages/membership/tests/lease-keeper.test.ts
@@ -41,8 +41,8 @@
     chai.expect(keepers.filter(each => each.mayAct()).length).equal(1);
   });
 
-  // A roll-out goes on twice: its keeper was paused past its lease, wakes and
-  // gives orders beside its successor.
+  // Guards against a roll-out that runs twice: its holder was paused past its
+  // lease, resumes and gives orders beside its successor.
   it('stops a holder that was paused past its lease', async () => {
     const {clock, createKeeper} = createFixture();
     const [paused, successor] = [createKeeper('a'), createKeeper('b')];
@@ -56,9 +56,9 @@
     chai.expect(successor.mayAct()).equal(true);
   });
 
-  // The holder's lease lapses and nobody takes it. Orders of before the lapse
-  // may still be under way, so the next term needs its own fencing number.
-  it('gives a lapsed holder a new term, not the old one', async () => {
+  // The lease expires and nobody takes it. Orders sent before may still be on
+  // their way, so the next term needs its own fencing number.
+  it('gives a holder a new term after its lease expired', async () => {
     const {clock, createKeeper} = createFixture();
     const keeper = createKeeper('a');
     const first = (await keeper.acquire()).unsafeCoerce();
@@ -80,8 +80,8 @@
     }
   });
 
-  // The platform takes the write and its answer is lost: nobody works on the
-  // duty until the lease lapses, or the writer races itself.
+  // Guards against a task that nobody runs until the lease expires, or a writer
+  // that races itself, after a lost answer.
   const lost: readonly {
     readonly name: string;
     readonly operation: fakes.StoreOperation;
@@ -121,8 +121,8 @@
     });
   }
 
-  // Renewals are lost one after the other, some before and some after they
-  // took effect; the holder must neither stop early nor act too long.
+  // Renewals are lost one after the other, before or after they took effect.
+  // The holder must neither stop early nor act for too long.
   it('acts no longer than the last renewal that it sent', async () => {
     const {clock, store, createKeeper} = createFixture();
     const keeper = createKeeper('a');
@@ -142,7 +142,7 @@
     chai.expect(keeper.mayAct()).equal(false);
   });
 
-  it('frees the lease at once on release, an answer lost before', async () => {
+  it('frees the lease at once on release after a lost answer', async () => {
     const {store, createKeeper} = createFixture();
     const [holder, next] = [createKeeper('a'), createKeeper('b')];
     await holder.acquire();
--- a/packages/membership/tests/leased-task-runner.test.ts
+++ b/packages/membership/tests/leased-task-runner.test.ts
@@ -55,44 +55,44 @@
   return {clock, store, members, running, fencings, cut, startAll};
 };
 
-describe('DutyRunner', () => {
-  it('runs a duty on one instance, at a cost that does not grow', async () => {
+describe('LeasedTaskRunner', () => {
+  it('runs a task on one instance, with calls that do not grow with the fleet', async () => {
     const costs: number[] = [];
     for (const count of [3, 40]) {
-      const scene = createFixture(count);
-      scene.startAll();
-      await scene.clock.advance(60_000);
-      chai.expect(scene.running.length).equal(1);
-      const {get, create, update} = scene.store.calls;
+      const fixture = createFixture(count);
+      fixture.startAll();
+      await fixture.clock.advance(60_000);
+      chai.expect(fixture.running.length).equal(1);
+      const {get, create, update} = fixture.store.calls;
       costs.push(get + create + update);
     }
     chai.expect(costs[1]).closeTo(costs[0]!, 4);
   });
 
-  // An instance is stopped for a new release while it keeps a roll-out. The
-  // roll-out stands still until a lease lapses, or goes on in two places.
+  // Guards against a roll-out that stands still until a lease expires, or runs
+  // in two places, when its holder is stopped for a new release.
   it('hands its duties over before it leaves', async () => {
     const {clock, members, running, fencings, startAll} = createFixture(3);
     startAll();
     await clock.advance(20_000);
-    const leaver = members.find(({id}) => id === running[0])!;
-    leaver.peers.markLeaving();
-    const stopping = leaver.runner.stop();
+    const leaving = members.find(({id}) => id === running[0])!;
+    leaving.peers.markLeaving();
+    const stopping = leaving.runner.stop();
     await clock.advance(10);
     await stopping;
     chai.expect(running).eql([]);
     await clock.advance(3_400);
     chai.expect(running.length).equal(1);
-    chai.expect(running[0]).not.equal(leaver.id);
+    chai.expect(running[0]).not.equal(leaving.id);
     chai.expect(fencings[1]).greaterThan(fencings[0]!);
-    leaver.runner.add(TASK, leaver.work);
+    leaving.runner.add(TASK, leaving.work);
     await clock.advance(20_000);
     chai.expect(running.length).equal(1);
   });
 
-  // The keeper of a roll-out is gone without a word. The roll-out must go on
-  // elsewhere, under a higher number, and never in both places.
-  it('goes on elsewhere after its keeper was cut off', async () => {
+  // The holder of a roll-out's lease is suddenly gone. The roll-out must go on
+  // elsewhere, with a higher fencing number, and never in both places.
+  it('goes on elsewhere after its holder was cut off', async () => {
     const {clock, running, fencings, cut, startAll} = createFixture(3);
     startAll();
     await clock.advance(20_000);
@@ -108,9 +108,9 @@
     chai.expect(fencings[1]).greaterThan(fencings[0]!);
   });
 
-  // The platform is out for longer than a lease. The keeper must stop, as
-  // nobody can tell whether it was replaced, and begin anew afterwards.
-  it('stops its work when the lease can not be renewed', async () => {
+  // The platform is out for longer than a lease. The holder must stop, since
+  // nobody can tell whether it was replaced, and start again afterwards.
+  it('stops its work when the lease cannot be renewed', async () => {
     const {clock, store, running, fencings, startAll} = createFixture(3);
     startAll();
     await clock.advance(10_000);
@@ -125,16 +125,16 @@
     chai.expect(fencings[1]).greaterThan(fencings[0]!);
   });
 
-  // The work of a duty fails at once each time. It must be tried again at a
-  // bearable rate, and not end for good.
-  it('tries failed work again after a while', async () => {
+  // The work of a task fails at once each time. It must be tried again at a
+  // limited rate, without ever giving up.
+  it('retries failed work after a while', async () => {
     const {clock, members} = createFixture(1);
-    let tries = 0;
+    let attempts = 0;
     members[0]!.runner.add(TASK, () => {
-      tries++;
+      attempts++;
       return Promise.reject(new Error('broken'));
     });
     await clock.advance(31_000);
-    chai.expect(tries).within(8, 12);
+    chai.expect(attempts).within(8, 12);
   });
 });
