--- a/packages/membership/tests/peer-table.test.ts
+++ b/packages/membership/tests/peer-table.test.ts
@@ -24,7 +24,7 @@
 const stateOf = (peers: membership.PeerTable, id: string) =>
   peers.all().find(peer => peer.id === id)?.state;
 
-describe('Peers', () => {
+describe('PeerTable', () => {
   const cases: readonly {
     readonly name: string;
     readonly news: Partial<protocol.Peer>;
@@ -44,16 +44,16 @@
     },
   ];
   for (const {name, news, state} of cases) {
-    it(`takes in news of ${name}`, () => {
+    it(`merges news of ${name}`, () => {
       const peers = createPeers(createPeer('b'));
       peers.applyNews([createPeer('b', news)], 0);
       chai.expect(stateOf(peers, 'b')).equal(state);
     });
   }
 
-  // One message is lost and a healthy instance is no longer offered to
-  // callers: it must hear of the rumour and refute it.
-  it('refutes a rumour of its own death', () => {
+  // Guards against a healthy instance that is no longer offered to callers
+  // after one lost message: it must learn of the suspicion and refute it.
+  it('refutes news that it is suspect', () => {
     const peers = createPeers();
     peers.applyNews([createPeer('self', {state: 'suspect'})], 0);
     const other = new membership.PeerTable(createPeer('other'));
@@ -62,13 +62,13 @@
     chai.expect(stateOf(other, 'self')).equal('live');
   });
 
-  it('tells a suspect what is held against it, before other news', () => {
+  it('sends a suspect the suspicion of it before other news', () => {
     const peers = createPeers(createPeer('b'), createPeer('c'));
     peers.recordFailure('b', 0);
     chai.expect(peers.selectNews('b', 1)[0]?.state).equal('suspect');
   });
 
-  it('declares a silent suspect dead, and a silent leaver at once', () => {
+  it('declares a suspect dead after a while, and a leaving instance at the first failure', () => {
     const leaver = createPeer('c', {state: 'leaving'});
     const peers = createPeers(createPeer('b'), leaver);
     peers.recordFailure('b', 0);
@@ -81,9 +81,9 @@
     chai.expect(stateOf(peers, 'b')).equal('dead');
   });
 
-  // The platform's list lags: it names an instance as live that died, and
-  // lacks one that just came.
-  it('believes signs of life before the list', () => {
+  // The platform's list lags: it lists a dead instance as live, and lacks one
+  // that just started.
+  it('prefers signs of life to the list', () => {
     const peers = createPeers(
       createPeer('new'),
       createPeer('dead', {state: 'dead'}),
@@ -118,7 +118,8 @@
 });
 
 describe('membership of a fleet', () => {
-  // An instance is killed; callers are sent to it until they time out.
+  // Guards against callers that are sent to a killed instance until they time
+  // out.
   it('stops offering a killed instance', async () => {
     const fleet = await fleets.createFleet(1);
     const [killed] = fleet.members;
@@ -135,7 +136,7 @@
     chai.expect(isGone).equal(true);
   });
 
-  // A planned stop: callers must not be sent to an instance that leaves.
+  // In a planned stop, callers must not be sent to an instance that leaves.
   it('stops offering a leaving instance within 3 s', async () => {
     const fleet = await fleets.createFleet(2, 12);
     const [leaver] = fleet.members;
@@ -151,15 +152,15 @@
     }
   });
 
-  // The network loses messages for a while; no healthy instance may be held
-  // for dead for long afterwards.
-  it('forgives all after an instance was cut off', async () => {
+  // After the network lost messages for a while, no healthy instance may count
+  // as dead for long.
+  it('counts all as live again after an instance was cut off', async () => {
     const fleet = await fleets.createFleet(3);
     const [cut] = fleet.members;
     cut!.isCutFromPeers = true;
     await fleet.clock.advance(60_000);
     cut!.isCutFromPeers = false;
-    const isForgiven = await fleet.clock.advanceUntil(
+    const areAllLive = await fleet.clock.advanceUntil(
       () =>
         fleet.members.every(({peers}) =>
           peers.all().every(({state}) => state === 'live'),
@@ -167,7 +168,7 @@
       60_000,
       100,
     );
-    chai.expect(isForgiven).equal(true);
+    chai.expect(areAllLive).equal(true);
   });
 });
 
--- a/packages/protocol/src/fleet-messages.ts
+++ b/packages/protocol/src/fleet-messages.ts
@@ -1,6 +1,6 @@
 /**
- * What gateway instances tell each other: who lives, what upstreams and
- * versions show, and views of the store.
+ * Schemas of what gateway instances send each other: which instances live, what
+ * is measured of upstreams and versions, and views of the store.
  */
 import * as zod from 'zod';
 import * as shapes from './shapes.js';
@@ -9,60 +9,67 @@
 export const member = zod.object({
   id: shapes.name,
   zone: shapes.name,
-  /** `host:port` at which it takes callers. */
+  /** `host:port` for callers. */
   callers: shapes.name,
-  /** `host:port` at which it takes messages of its peers. */
+  /** `host:port` for messages of its peers. */
   peers: shapes.name,
-  /** Wall time of its start in milliseconds; the higher start wins. */
+  /**
+   * Wall time of its start in milliseconds; the row with the higher start is
+   * the later one.
+   */
   start: shapes.count,
-  /** Rises with each change of what it says of itself. */
+  /** Increases with each change that the instance makes to its row. */
   revision: shapes.count,
   phase: zod.enum(['starting', 'serving', 'leaving']),
-  /** Whether its calls to the store are answered, as far as it knows. */
+  /** Whether the store answers its calls, as far as it knows. */
   store: zod.enum(['reached', 'lost']).default('reached'),
-  /** What its machine gives it, in processor cores. */
+  /** Processor cores that it may use. */
   cores: zod.number().positive().default(1),
 });
 
 /**
- * How far a group has come: the instances that one instance, mostly a watcher,
- * has on the line. The members of a group live as long as its `beat` rises.
+ * State of a group: the instances that are connected to one instance, usually a
+ * watcher. The members of a group count as live as long as its `beat`
+ * increases.
  */
 export const groupState = zod.object({
-  /** The instance that keeps the group. */
+  /** Id of the instance that keeps the group. */
   keeper: shapes.name,
-  /** Start of the keeper; the higher start wins. */
+  /** Start of the keeper; the state with the higher start is the later one. */
   start: shapes.count,
-  /** The keeper counts it up all the time. */
+  /** Increased by the keeper at each exchange interval. */
   beat: shapes.count,
-  /** Rises with each change of its members; 0: they are not known. */
+  /** Increases with each change of its members; 0 if they are not known. */
   revision: shapes.count,
 });
 
-/** All members of a group, its keeper among them. */
+/** All members of a group, its keeper included. */
 export const groupMembers = groupState.omit({beat: true}).extend({
   members: zod.array(member).max(shapes.MAX_ITEMS),
 });
 
-/** The step from one state of the list of live instances to a later one. */
+/** The difference between an earlier and a later list of live instances. */
 export const memberListDelta = zod.object({
-  /** Whether `changed` holds all there are. */
+  /** Whether `changed` is the whole list. */
   isWhole: zod.boolean(),
   changed: zod.array(member).max(shapes.MAX_ITEMS),
-  /** Instances that live no more. */
+  /** Ids of instances that are gone. */
   gone: zod.array(shapes.name).max(shapes.MAX_ITEMS),
 });
 
-/** What an instance knows of one kind of objects in the store. */
+/** State of an instance's view of one kind of objects in the store. */
 export const viewState = zod.object({
   kind: shapes.name,
   /** Store version up to which the view is complete. */
   version: shapes.count,
-  /** Equal where the contents are equal. */
+  /** Digest of the contents; equal for views with the same contents. */
   digest: shapes.name,
-  /** Time since it was last known to be complete. */
+  /** Time since the view was last known to be complete. */
   ageMs: shapes.milliseconds,
-  /** How long the store had answered instances then, without a long silence. */
+  /**
+   * For how long before then the store had answered instances, without a long
+   * gap.
+   */
   answeredForMs: shapes.milliseconds.default(0),
 });
 
@@ -74,99 +81,112 @@
   status: zod.unknown().optional(),
 });
 
-/** The step from a view that is complete up to a version to a later one. */
+/**
+ * The difference between a view that is complete up to a version and a later
+ * one.
+ */
 export const viewDelta = zod.object({
-  /** All names that there are; others are gone. */
+  /** Names of all objects; objects not named are deleted. */
   names: zod.array(shapes.name).max(shapes.MAX_OBJECTS),
-  /** Objects that changed after the asker's version. */
+  /** Objects that changed after the caller's version. */
   objects: zod.array(viewObject).max(shapes.MAX_OBJECTS),
 });
 
-/** What an instance sees of one upstream; counts over the last seconds. */
+/**
+ * One instance's load and outcome counts of one upstream; outcomes are those of
+ * the last seconds.
+ */
 export const upstreamStats = zod.object({
   id: shapes.name,
   inFlight: shapes.count,
   /** Weighted tokens of prompts whose answers have not begun. */
   waitingTokens: zod.number().nonnegative(),
-  /** Weighted prompt tokens sent, a second. */
+  /** Weighted prompt tokens sent per second. */
   tokensPerS: zod.number().nonnegative(),
   answered: shapes.count,
   failed: shapes.count,
 });
 
-/** What an upstream said last of how much it takes from all instances. */
+/**
+ * The rate limit that an upstream last announced for all instances together.
+ */
 export const rateLimit = zod.object({
   id: shapes.name,
-  /** Requests a second; absent where it names no limit any more. */
+  /** Requests per second; absent if the upstream no longer has a limit. */
   perSecond: zod.number().nonnegative().optional(),
-  /** Time since it said so. */
+  /** Time since the upstream announced it. */
   ageMs: shapes.milliseconds,
 });
 
-/** What one start of an instance counted of a roll-out's versions. */
+/** Counts of a roll-out's versions since one start of an instance. */
 export const orderEvidence = zod.object({
-  /** Names the order: service and version. */
+  /** Identifies the roll-out: service and version. */
   order: shapes.name,
-  /** Names an instance and one start of it; its counters begin at 0 there. */
+  /** Identifies an instance and its start; its counters begin at 0 there. */
   incarnation: shapes.name,
-  /** Name of the route that was counted on. */
+  /** Name of the route to which the counts belong. */
   route: shapes.name,
   old: shapes.versionCounts,
   new: shapes.versionCounts,
 });
 
-/** A roll-out as an instance follows it. */
+/** An instance's progress in a roll-out. */
 export const rolloutProgress = zod.object({
   order: shapes.name,
-  /** Time since the order, as far as the instance knows. */
+  /** Time since the roll-out was requested, as far as the instance knows. */
   ageMs: shapes.milliseconds,
-  /** Sessions that must stay with the old version, by hash. */
+  /** Hashes of the sessions that must stay with the old version. */
   pinned: zod.array(shapes.count).max(shapes.MAX_ITEMS),
 });
 
-/** What all instances counted of a roll-out's versions on one route. */
+/** Counts of a roll-out's versions on one route, summed over all instances. */
 export const evidenceSum = orderEvidence.omit({incarnation: true});
 
 /**
- * What an instance tells the watcher that it is told by. Of what lists only
- * grow, it tells what the watcher has not confirmed yet.
+ * Report of a follower to its watcher. Of lists that only grow, it contains
+ * what the watcher has not confirmed yet.
  */
 export const followerReport = zod.object({
   from: member,
-  /** Whether it tells others itself: it hears of the fleet from its peers. */
+  /**
+   * Whether the sender is a watcher itself, which learns of the fleet from its
+   * peers.
+   */
   isWatcher: zod.boolean().default(false),
   upstreams: zod.array(upstreamStats).max(shapes.MAX_OBJECTS),
   limits: zod.array(rateLimit).max(shapes.MAX_OBJECTS).default([]),
   evidence: zod.array(orderEvidence).max(shapes.MAX_ITEMS),
   rollouts: zod.array(rolloutProgress).max(shapes.MAX_ITEMS),
-  /** Which list of members the instance has. */
+  /** Version of the member list that the instance has. */
   membersVersion: shapes.name,
-  /** Sessions of each order that the watcher has told it. */
+  /** By roll-out, the number of sessions that the watcher has sent to it. */
   pinnedKnown: zod.record(zod.string(), shapes.count),
 });
 
-/** What a watcher knows of the fleet, put together for one instance. */
+/** A watcher's summary of the fleet for one instance. */
 export const fleetSummary = zod.object({
   membersVersion: shapes.name,
-  /** What has changed in it; absent where the asker has this version. */
+  /** Changes to the member list; absent if the caller has this version. */
   members: memberListDelta.optional(),
-  /** Sums over all instances but the asker. */
+  /** Sums over all instances except the caller. */
   upstreams: zod.array(upstreamStats).max(shapes.MAX_OBJECTS),
   limits: zod.array(rateLimit).max(shapes.MAX_OBJECTS).default([]),
   /** Sums over all instances. */
   evidence: zod.array(evidenceSum).max(shapes.MAX_ITEMS),
   rollouts: zod.array(rolloutProgress).max(shapes.MAX_ITEMS),
-  /** Sessions of each order that the watcher knows. */
+  /** By roll-out, the number of sessions that the watcher knows. */
   pinnedCounts: zod.record(zod.string(), shapes.count),
 });
 
-/** What a gateway instance tells its peers, and they answer. */
+/** Report that a gateway instance sends to a peer, and gets in return. */
 export const fleetReport = zod.object({
   from: member,
-  /** Instances that watch the store, for one that knows nobody yet. */
+  /** Instances that watch the store, for a receiver that knows none yet. */
   watchers: zod.array(member).max(shapes.MAX_ITEMS),
   groups: zod.array(groupState).max(shapes.MAX_ITEMS),
-  /** Members of groups that the receiver does not have as they are. */
+  /**
+   * Members of groups that the receiver does not have in their present state.
+   */
   groupMembers: zod.array(groupMembers).max(shapes.MAX_ITEMS),
   views: zod.array(viewState).max(shapes.MAX_ENVIRONMENTS),
   upstreams: zod.array(upstreamStats).max(shapes.MAX_OBJECTS),
@@ -178,38 +198,38 @@
 /** One gateway instance as the others know it. */
 export type Member = Readonly<zod.infer<typeof member>>;
 
-/** How far a group has come. */
+/** State of a group. */
 export type GroupState = Readonly<zod.infer<typeof groupState>>;
 
 /** All members of a group. */
 export type GroupMembers = Readonly<zod.infer<typeof groupMembers>>;
 
-/** The step from one state of the list of live instances to a later one. */
+/** The difference between an earlier and a later list of live instances. */
 export type MemberListDelta = Readonly<zod.infer<typeof memberListDelta>>;
 
-/** What an instance knows of one kind of objects in the store. */
+/** State of an instance's view of one kind of objects in the store. */
 export type ViewState = Readonly<zod.infer<typeof viewState>>;
 
-/** The step from one state of a view to a later one. */
+/** The difference between an earlier and a later state of a view. */
 export type ViewDelta = Readonly<zod.infer<typeof viewDelta>>;
 
-/** What an instance sees of one upstream. */
+/** One instance's load and outcome counts of one upstream. */
 export type UpstreamStats = Readonly<zod.infer<typeof upstreamStats>>;
 
-/** What one start of an instance counted of a roll-out's versions. */
+/** Counts of a roll-out's versions since one start of an instance. */
 export type OrderEvidence = Readonly<zod.infer<typeof orderEvidence>>;
 
-/** A roll-out as an instance follows it. */
+/** An instance's progress in a roll-out. */
 export type RolloutProgress = Readonly<zod.infer<typeof rolloutProgress>>;
 
-/** What all instances counted of a roll-out's versions on one route. */
+/** Counts of a roll-out's versions on one route, summed over all instances. */
 export type EvidenceSum = Readonly<zod.infer<typeof evidenceSum>>;
 
-/** What an instance tells the watcher that it is told by. */
+/** Report of a follower to its watcher. */
 export type FollowerReport = Readonly<zod.infer<typeof followerReport>>;
 
-/** What a watcher knows of the fleet, put together for one instance. */
+/** A watcher's summary of the fleet for one instance. */
 export type FleetSummary = Readonly<zod.infer<typeof fleetSummary>>;
 
-/** What a gateway instance tells its peers. */
+/** Report that a gateway instance sends to a peer. */
 export type FleetReport = Readonly<zod.infer<typeof fleetReport>>;
--- a/packages/protocol/src/http-transport.ts
+++ b/packages/protocol/src/http-transport.ts
@@ -1,31 +1,33 @@
-/** Carries messages between entry instances as HTTP requests. */
+/** Sends messages between entry instances as HTTP requests. */
 import * as http from 'node:http';
 import * as zlib from 'node:zlib';
 import * as wreck from '@hapi/wreck';
 import * as purify from 'purify-ts';
 import type * as peerTransport from './peer-transport.js';
 
-/** Path at which an instance takes messages of its peers. */
+/** Path at which an instance receives messages of its peers. */
 export const INNER_PATH = '/inner/rpc';
 
-/** Largest answer taken; a whole configuration stays well below it. */
+/** Largest answer accepted; a whole configuration is well below it. */
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
 
 /**
  * Idle time after which a connection is closed, in milliseconds. Peers are
  * drawn at random, so at 1,000 instances a longer time would keep up to a
- * thousand sockets open. Below the 5 s after which Node.js servers close an
- * idle connection: a request sent into a closing one would be lost.
+ * thousand sockets open. It is below the 5 s after which Node.js servers close
+ * an idle connection: a request sent on a connection that is being closed would
+ * be lost.
  */
 const IDLE_TIMEOUT_MS = 4_000;
 
 /**
- * Text from which a message is compressed, in bytes: what instances tell of
- * each other and of a roll-out repeats the same names, and shrinks to a sixth.
+ * Size from which a message is compressed, in bytes. What instances report of
+ * each other and of a roll-out repeats the same names, and compresses to a
+ * sixth.
  */
 const COMPRESSION_THRESHOLD_BYTES = 1_024;
 
-/** Failures to connect: no byte of the request has left. */
+/** Codes of failures to connect: no byte of the request was sent. */
 const CONNECT_ERRORS: readonly string[] = [
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -41,11 +43,11 @@
 
 /** Options of the transport. */
 export interface HttpTransportOptions {
-  /** Key that all instances of an environment hold; absent where none is. */
+  /** Key shared by all instances of an environment; absent if there is none. */
   readonly innerKey?: string;
 }
 
-/** A transport with the connections that it keeps. */
+/** A transport that keeps connections open. */
 export interface HttpTransport {
   readonly send: peerTransport.PeerTransport;
   /** Closes all connections. */
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -1,34 +1,36 @@
 /**
- * Messages between entry instances: for each method the shape of its
- * parameters and of its result. Schemas check what arrives; types are derived
- * from them. Both ends may run neighbouring releases during a roll-out of the
- * product itself, so fields that a receiver does not know are ignored.
+ * Messages between entry instances: the parameters and the result of each
+ * method. Schemas check what arrives; types are derived from them. During an
+ * upgrade of the product the two ends may run neighbouring releases, so a
+ * receiver ignores fields that it does not know.
  */
 import * as zod from 'zod';
 import * as fleetMessages from './fleet-messages.js';
 import * as shapes from './shapes.js';
 
 /**
- * What is known of an instance's life: `suspect` failed to answer someone and
- * has not yet shown life; `dead` stayed suspect for too long.
+ * Liveness of an instance: `suspect` did not answer some peer and has not shown
+ * a sign of life since; `dead` was suspect for too long.
  */
 const peerState = zod.enum(['live', 'leaving', 'suspect', 'dead']);
 
 /** One instance as its peers know it. */
 const peer = zod.object({
   id: shapes.name,
-  /** `host:port`, the host an IP address. */
+  /** `host:port`, where the host is an IP address. */
   address: shapes.name,
   zone: shapes.name,
   state: peerState,
-  /** Set by the instance itself; the higher one wins. */
+  /**
+   * Set by the instance itself; the row with the higher one is the later one.
+   */
   incarnation: shapes.count,
 });
 
 /**
- * Which configuration is in force for an environment. The digest is left out:
- * one conditional update makes each generation, so the number says it all, at
- * a sixth of the bytes of a message that every instance sends each second.
+ * Active configuration of an environment. The digest is left out: one
+ * conditional update makes each generation, so its number identifies it, at a
+ * sixth of the bytes of a message that every instance sends each second.
  */
 const generation = zod.object({
   environment: shapes.name,
@@ -36,9 +38,12 @@
 });
 
 /**
- * What an instance knows of its configuration: `confirmed` by the platform
- * lately; `platform_out` while most zones are heard and none reaches the
- * platform; `isolated` when it can not tell; `starting` before it has any.
+ * What an instance knows of its configuration:
+ *
+ * - `starting`: it has none yet.
+ * - `confirmed`: the platform confirmed it lately.
+ * - `platform_out`: most zones are heard, and none reaches the platform.
+ * - `isolated`: none of these; its configuration may be out of date.
  */
 const standing = zod.enum([
   'starting',
@@ -48,8 +53,8 @@
 ]);
 
 /**
- * A named part of an environment's document, and the generation that last
- * changed it. Its digest is left out, as the receiver works it out from the
+ * A named section of an environment's document, and the generation that last
+ * changed it. Its digest is left out, since the receiver computes it from the
  * content anyway to check the whole.
  */
 const section = zod.object({
@@ -58,20 +63,20 @@
   content: zod.unknown(),
 });
 
-/** A part that is no more, and the generation that removed it. */
+/** A section that was removed, and the generation that removed it. */
 const removedSection = zod.object({
   name: shapes.name,
   generation: shapes.count,
 });
 
 /**
- * The step from one configuration to a later one. `baseGeneration` is absent
- * when `sections` are all there are.
+ * The difference between one configuration and a later one. `baseGeneration` is
+ * absent if `sections` is the whole configuration.
  */
 const configurationChange = zod.object({
   environment: shapes.name,
   generation: shapes.count,
-  /** Digest of the manifest after the step. */
+  /** Digest of the manifest after the change. */
   digest: shapes.name,
   baseGeneration: shapes.count.optional(),
   /** Generation from which the sender knows all changes. */
@@ -82,7 +87,10 @@
 
 /** Schemas of parameters and results by method. */
 export const schemas = {
-  /** Tells what is in force here; answers the same, and newer sections. */
+  /**
+   * Sends the active generations; the result has the receiver's, and newer
+   * sections.
+   */
   exchange_generations: {
     params: zod.object({
       from: peer,
@@ -94,15 +102,17 @@
       from: peer,
       generations: zod.array(generation).max(shapes.MAX_ENVIRONMENTS),
       news: zod.array(peer).max(shapes.MAX_ITEMS),
-      /** Age of the last confirmation by the platform; absent for never. */
+      /** Age of the last confirmation by the platform; absent if never. */
       confirmedAgeMs: shapes.milliseconds.optional(),
       /** Age of the last sign of life from each zone. */
       zoneAgesMs: zod.record(zod.string(), shapes.milliseconds),
-      /** The step to this instance's configuration when the caller's is older. */
+      /**
+       * The change to the receiver's configuration if the caller's is older.
+       */
       change: configurationChange.optional(),
     }),
   },
-  /** Fetches the step from `haveGeneration`, or the whole configuration. */
+  /** Fetches the change from `haveGeneration`, or the whole configuration. */
   fetch_sections: {
     params: zod.object({
       environment: shapes.name,
@@ -110,7 +120,10 @@
     }),
     result: zod.object({change: configurationChange.optional()}),
   },
-  /** Tells operators what is in force, and whether new work is taken. */
+  /**
+   * Reports to operators which generation is active, and whether new work is
+   * taken.
+   */
   report_generation: {
     params: zod.object({environment: shapes.name}),
     result: zod.object({
@@ -119,22 +132,26 @@
       standing,
     }),
   },
-  /** Lists the instances that the receiver knows, for one that joins. */
+  /**
+   * Lists the instances that the receiver knows, for an instance that joins.
+   */
   list_peers: {
     params: zod.object({}),
     result: zod.object({peers: zod.array(peer).max(shapes.MAX_ITEMS)}),
   },
-  /** Copies pending bills of `owner` to an instance in another zone. */
+  /** Sends copies of `owner`'s pending bills to an instance in another zone. */
   copy_bills: {
     params: zod.object({
       owner: shapes.name,
       bills: zod.array(zod.unknown()).max(shapes.MAX_ITEMS),
-      /** Lanes that are in the object API, whose copies can go. */
+      /**
+       * Lanes already written to the object API, whose copies can be deleted.
+       */
       writtenLanes: zod.array(shapes.name).max(shapes.MAX_ITEMS),
     }),
     result: zod.object({accepted: shapes.count}),
   },
-  /** Fetches the copies of bills that the receiver keeps for `owner`. */
+  /** Fetches the copies of `owner`'s bills that the receiver stores. */
   fetch_bills: {
     params: zod.object({owner: shapes.name}),
     result: zod.object({bills: zod.array(zod.unknown())}),
@@ -142,22 +159,22 @@
   /** Collects events of the receiver's time line, oldest first. */
   collect_events: {
     params: zod.object({
-      /** -1 for all that the receiver still has. */
+      /** -1 for all events that the receiver still has. */
       afterSequence: zod.number().int().min(-1),
       limit: shapes.count.max(shapes.MAX_ITEMS),
       filter: zod.record(zod.string(), zod.string()).optional(),
     }),
     result: zod.object({
       events: zod.array(zod.unknown()).max(shapes.MAX_ITEMS),
-      /** Sequence of the last event looked at; pass it as `afterSequence`. */
+      /** Sequence of the last event examined; pass it as `afterSequence`. */
       lastSequence: zod.number().int().min(-1),
     }),
   },
-  /** Fetches what the receiver counted of a roll-out's two versions. */
+  /** Fetches the receiver's counts of a roll-out's two versions. */
   fetch_evidence: {
     params: zod.object({rollout: shapes.name}),
     result: zod.object({
-      /** Names the receiver's start; its counters begin at 0 there. */
+      /** Identifies the receiver's start; its counters begin at 0 there. */
       incarnation: shapes.name,
       old: shapes.versionCounts,
       new: shapes.versionCounts,
@@ -170,7 +187,7 @@
       instance: shapes.name,
       wanted: shapes.count,
       inFlight: shapes.count,
-      /** Time since the upstream turned cold, as the asker knows it. */
+      /** Time since the upstream became cold, as the caller knows it. */
       ageMs: shapes.milliseconds,
       coldSlots: shapes.count,
       fullSlots: shapes.count,
@@ -183,7 +200,7 @@
     params: zod.object({incarnation: shapes.name, owner: shapes.name}),
     result: zod.object({state: zod.enum(['void', 'in_use', 'no_answer'])}),
   },
-  /** Tells what a gateway instance knows; answers the same. */
+  /** Sends a gateway instance's report; the result is the receiver's. */
   exchange_reports: {
     params: fleetMessages.fleetReport,
     result: fleetMessages.fleetReport,
@@ -192,7 +209,7 @@
   fetch_view: {
     params: zod.object({kind: shapes.name}),
     result: zod.object({
-      /** Absent where the receiver knows nothing of the kind. */
+      /** Absent if the receiver has no view of the kind. */
       view: zod
         .object({
           version: shapes.count,
@@ -203,8 +220,8 @@
     }),
   },
   /**
-   * Waits until the receiver's views differ from the asker's, or for a while,
-   * and brings what is new.
+   * Waits until the receiver's views differ from the caller's, or for `waitMs`,
+   * and returns the changes.
    */
   await_views: {
     params: zod.object({
@@ -230,11 +247,11 @@
           }),
         )
         .max(shapes.MAX_ENVIRONMENTS),
-      /** Present where the asker reported. */
+      /** Present if the caller sent a report. */
       summary: fleetMessages.fleetSummary.optional(),
     }),
   },
-  /** Says that an instance leaves and must not be offered to callers. */
+  /** Announces that an instance leaves and must not be offered to callers. */
   leaving: {
     params: zod.object({from: peer}),
     result: zod.object({}),
@@ -263,16 +280,16 @@
 /** One instance as its peers know it. */
 export type Peer = Readonly<zod.infer<typeof peer>>;
 
-/** What is known of an instance's life. */
+/** Liveness of an instance as its peers know it. */
 export type PeerState = Peer['state'];
 
-/** Which configuration is in force for an environment. */
+/** Generation of the active configuration of an environment. */
 export type Generation = Readonly<zod.infer<typeof generation>>;
 
 /** What an instance knows of its configuration. */
 export type Standing = zod.infer<typeof standing>;
 
-/** The step from one configuration to a later one. */
+/** The difference between one configuration and a later one. */
 export type ConfigurationChange = Readonly<
   zod.infer<typeof configurationChange>
 >;
--- a/packages/protocol/src/peer-client.ts
+++ b/packages/protocol/src/peer-client.ts
@@ -10,10 +10,10 @@
 ): purify.Either<peerTransport.PeerError, never> =>
   purify.Left({code, message});
 
-/** One request is in flight per HTTP exchange, so identities need no counter. */
+/** Fixed request id: an HTTP exchange carries only one request. */
 const REQUEST_ID = 1;
 
-/** Writes a request as the text that a peer's server takes. */
+/** Encodes a request as the text that a peer's server receives. */
 export const encodeRequest = <M extends messages.MethodName>(
   method: M,
   params: messages.Params<M>,
@@ -29,12 +29,15 @@
   );
 
 const toErrorCode = (error: rpc.JSONRPCError): peerTransport.PeerErrorCode => {
-  // Handlers' failures carry the library's default code, 0.
+  // Errors thrown by handlers have the library's default code, 0.
   const refusals: readonly number[] = [-32700, -32600, -32601, -32602];
   return refusals.includes(error.code) ? 'refused' : 'failed';
 };
 
-/** Reads an answer's text, checked against the method's result. */
+/**
+ * Decodes an answer's text, and checks it against the schema of the method's
+ * result.
+ */
 export const decodeResponse = <M extends messages.MethodName>(
   method: M,
   text: string,
--- a/packages/protocol/src/peer-server.ts
+++ b/packages/protocol/src/peer-server.ts
@@ -2,7 +2,7 @@
 import * as rpc from 'json-rpc-2.0';
 import * as messages from './messages.js';
 
-/** Functions that answer messages; a method without one is unknown. */
+/** Handlers by method; a method without a handler is answered as unknown. */
 export type Handlers = {
   readonly [M in messages.MethodName]?: (
     params: messages.Params<M>,
@@ -11,7 +11,10 @@
 
 /** Answers requests given as text. */
 export interface PeerServer {
-  /** Resolves to the answer's text, a JSON-RPC error included; never rejects. */
+  /**
+   * Resolves to the answer's text, which may be a JSON-RPC error; never
+   * rejects.
+   */
   handle(text: string): Promise<string>;
 }
 
--- a/packages/protocol/src/peer-transport.ts
+++ b/packages/protocol/src/peer-transport.ts
@@ -1,27 +1,27 @@
-/** Port that carries a request's text to another entry instance. */
+/** Port that sends a request's text to another entry instance. */
 import type * as purify from 'purify-ts';
 
 /**
- * Why a message has no result.
+ * Reason why a message has no result.
  *
  * - `not_sent`: no byte reached the peer.
- * - `unknown`: the answer is missing; the peer may have acted.
+ * - `unknown`: no answer arrived; the peer may have acted.
  * - `refused`: the peer answered with an error, and did not act.
  * - `failed`: the peer's handler failed; it may have acted in part.
- * - `invalid`: the answer is not one to this message.
+ * - `invalid`: the answer does not match the message.
  */
 export type PeerErrorCode =
   'not_sent' | 'unknown' | 'refused' | 'failed' | 'invalid';
 
-/** A message that has no result. */
+/** Error of a message that has no result. */
 export interface PeerError {
   readonly code: PeerErrorCode;
   readonly message: string;
 }
 
 /**
- * Carries `requestText` to the instance at `address` (`host:port`) and brings
- * its answer, or an error after at most `timeoutMs`. It never rejects.
+ * Sends `requestText` to the instance at `address` (`host:port`) and resolves
+ * to its answer, or to an error after at most `timeoutMs`. Never rejects.
  */
 export type PeerTransport = (
   address: string,
--- a/packages/protocol/src/shapes.ts
+++ b/packages/protocol/src/shapes.ts
@@ -1,13 +1,19 @@
-/** Shapes and bounds that messages between instances share. */
+/** Schemas and bounds that messages between instances share. */
 import * as zod from 'zod';
 
-/** Longest list in one message; bounds the memory that a sender can claim. */
+/**
+ * Longest list in one message; bounds the memory that a sender can make the
+ * receiver use.
+ */
 export const MAX_ITEMS = 2_000;
 
-/** Objects of one kind: twice the upstreams of the size to design for. */
+/**
+ * Maximum number of objects of one kind: twice the upstreams of the size
+ * designed for.
+ */
 export const MAX_OBJECTS = 24_000;
 
-/** Environments that one instance may follow. */
+/** Maximum number of environments that one instance follows. */
 export const MAX_ENVIRONMENTS = 16;
 
 /** A name or an address. */
@@ -17,12 +23,12 @@
 /** A time in milliseconds. */
 export const milliseconds = zod.number().nonnegative();
 
-/** What one instance saw of one version. */
+/** One instance's outcome counts of one version. */
 export const versionCounts = zod.object({
   requests: count,
   errors: count,
   slow: count,
-  // Absent from releases that do not measure it.
+  // Releases that do not measure these leave them out.
   paced: count.default(0),
   dragging: count.default(0),
   rated: count,
--- a/packages/protocol/tests/peer-messages.test.ts
+++ b/packages/protocol/tests/peer-messages.test.ts
@@ -12,7 +12,7 @@
   incarnation: 1,
 });
 
-/** A transport straight to a server in the same process. */
+/** A transport that calls a server in the same process. */
 const connect =
   (server: protocol.PeerServer): protocol.PeerTransport =>
   async (_address, text) =>
@@ -40,8 +40,9 @@
     chai.expect(result.extract()).eql({accepted: 2});
   });
 
-  it('takes what is known of as many upstreams as there are to be', async () => {
-    // Guards against reports that are refused whole for one long list.
+  it('accepts a summary of 12,000 upstreams', async () => {
+    // Guards against a report that is refused as a whole because one list is
+    // long.
     const upstreams = Array.from({length: 12_000}, (_, index) => ({
       id: `upstream-${index}`,
       inFlight: 1,
@@ -107,7 +108,7 @@
     });
   }
 
-  it('tells refusals, failures and wrong answers apart', async () => {
+  it('distinguishes refusals, failures and invalid answers', async () => {
     const transport = connect(server);
     const refused = await protocol.callPeer(
       transport,
@@ -146,7 +147,7 @@
     return {address: `127.0.0.1:${port}`, server};
   };
 
-  it('posts with the inner key and tells errors apart', async () => {
+  it('posts with the inner key and distinguishes errors', async () => {
     const seen: string[] = [];
     const {address, server} = await listen((request, response) => {
       seen.push(`${request.method} ${request.url}`);
@@ -169,9 +170,9 @@
     chai.expect([second, third].map(codeOf)).eql(['refused', 'not_sent']);
   });
 
-  // A caller waits for an answer although the peer has it all: the peer is
-  // stopped, accepts the request and never answers.
-  it('gives up on a silent peer without claiming it did nothing', async () => {
+  // The peer is stopped: it accepts the request and never answers, though it
+  // may have acted.
+  it('reports a timeout of a silent peer as unknown, not as not sent', async () => {
     const {address, server} = await listen(() => undefined);
     const transport = protocol.createHttpTransport({innerKey: 'k'});
     const result = await transport.send(address, '{}', 50);
