--- a/packages/gateway/src/accept-request.ts
+++ b/packages/gateway/src/accept-request.ts
@@ -1,26 +1,31 @@
-/** Decides whether a request may run at all. Pure. */
+/**
+ * Decides from the active configuration whether a request may run. Pure.
+ *
+ * Guards against decisions by a configuration that is out of date: a revoked
+ * key that is still accepted, a new route or key that is denied.
+ */
 import * as purify from 'purify-ts';
 import * as routing from '@amaranthknot/routing';
 import type * as callerRequest from './caller-request.js';
 import type * as runContext from './run-context.js';
 import type * as refusals from './refusal.js';
 
-/** The configuration in force as this instance knows it. */
+/** The active routing table as this instance knows it. */
 export interface ActiveTable {
   readonly table: routing.RoutingTable;
-  /** Time since it was last confirmed to be the newest, in milliseconds. */
+  /** Time since it was last confirmed as the newest, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** Ages beyond which the configuration may not be relied on, in ms. */
+/** Ages beyond which the table is not relied on, in milliseconds. */
 export interface TableAgeLimits {
-  /** For requests with a key: it may have been revoked since. */
+  /** For requests with an API key, which may have been revoked since. */
   readonly keyChecksMs: number;
-  /** For saying that a route or key does not exist: it may be new. */
+  /** For denying an unknown route or key, which may have been added since. */
   readonly denialsMs: number;
 }
 
-/** When to come back while the configuration is not known, in ms. */
+/** `Retry-After` while the configuration is unknown or too old, in ms. */
 const NOT_READY_RETRY_MS = 500;
 
 const NOT_READY: refusals.Refusal = {
@@ -34,23 +39,27 @@
   runContext.AcceptedRequest
 >;
 
-/** Draws a route's service by weight. */
+/** Chooses one of a route's services at random, by weight. */
 const chooseService = (
   targets: readonly routing.RouteTarget[],
   random: () => number,
 ): string | undefined => {
   const total = targets.reduce((sum, {weight}) => sum + weight, 0);
-  let left = random() * total;
+  let remaining = random() * total;
   for (const target of targets) {
-    left -= target.weight;
-    if (left < 0) {
+    remaining -= target.weight;
+    if (remaining < 0) {
       return target.service;
     }
   }
   return targets.at(-1)?.service;
 };
 
-/** Accepts a request by the configuration in force, or says why not. */
+/**
+ * Accepts a request or refuses it, by the active configuration.
+ *
+ * @param random returns a number from 0 up to, but not including, 1.
+ */
 export const acceptRequest = (
   caller: callerRequest.CallerRequest,
   activeTable: ActiveTable | undefined,
@@ -61,8 +70,8 @@
     return purify.Left(NOT_READY);
   }
   const {table, ageMs} = activeTable;
-  // A route or key that is missing here may have come with a configuration
-  // that this instance has not seen: denied, its caller would not return.
+  // A newer configuration may have added the route or key. Callers do not
+  // retry after a denial, so an old table answers `not_ready` instead.
   const deny = (reason: refusals.RefusalReason): Acceptance =>
     purify.Left(ageMs > ageLimits.denialsMs ? NOT_READY : {reason});
   if (caller.body.length > table.limits.bodyBytes) {
@@ -74,7 +83,7 @@
     return deny('unknown_route');
   }
   const needsKey = table.workspaces !== undefined && !route.isPublic;
-  // Cut off, this instance would not hear that a key was taken away.
+  // An instance that is cut off does not learn that a key was revoked.
   if (needsKey && ageMs > ageLimits.keyChecksMs) {
     return purify.Left(NOT_READY);
   }
--- a/packages/gateway/src/auxiliary-server.ts
+++ b/packages/gateway/src/auxiliary-server.ts
@@ -1,39 +1,40 @@
 /**
- * Answers readiness checks, callers' address questions, peers, collectors.
+ * Auxiliary HTTP servers: readiness, directory, peer messages and metrics.
  *
- * The runtime's own server for a path each: hundreds of instances start at once
- * after a loss of power and would all load a framework first, whose handling of
- * a request costs more than reading most messages of peers.
+ * Uses `node:http` directly, with one path for each server: after a loss of
+ * power hundreds of instances start at once and would all load a framework
+ * first, whose overhead for a request exceeds the cost of reading most peer
+ * messages.
  */
 import * as http from 'node:http';
 import * as zlib from 'node:zlib';
 import type * as configuration from '@amaranthknot/configuration';
 import * as httpListener from './http-listener.js';
 
-/** Largest message of another instance, in bytes, as it is sent and unpacked. */
+/** Largest message of another instance, in bytes, compressed or not. */
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
-/** Answer from which a message to a peer is compressed, in bytes. */
+/** Smallest answer that is compressed, in bytes. */
 const MIN_COMPRESSED_BYTES = 1_024;
 
-/** Path at which metrics are collected. */
+/** Path of the metrics endpoint. */
 const METRICS_PATH = '/metrics';
 
 const JSON_TYPE = 'application/json';
 
-/** A question of a caller: where to connect. */
+/** A caller's query for addresses to connect to. */
 export interface DirectoryQuery {
   readonly zone: string | undefined;
   readonly region: string | undefined;
-  /** Address that the caller asks from. */
+  /** Remote IP address of the caller. */
   readonly callerHost: string;
 }
 
-/** A running server. */
+/** A server that can be started and stopped. */
 export interface AuxiliaryServer {
-  /** Rejects where the address can't be had. */
+  /** Rejects if the address is not available. */
   start(): Promise<void>;
-  /** Ends requests in progress at once. */
+  /** Stops listening and cuts requests in progress. */
   stop(): Promise<void>;
 }
 
@@ -54,7 +55,7 @@
 
 const NOT_FOUND: Answer = {status: 404};
 
-/** Creates a server that takes messages of other instances. */
+/** Creates a server for messages of other instances; `handle` answers them. */
 export const createPeerServer = (
   address: configuration.Address,
   path: string,
@@ -71,7 +72,7 @@
     },
   });
 
-/** Creates a server that says whether this instance takes requests. */
+/** Creates a server that answers whether this instance accepts requests. */
 export const createReadinessServer = (
   address: configuration.Address,
   path: string,
@@ -83,11 +84,15 @@
     answer: () => ({status: isReady() ? 200 : 503}),
   });
 
-/** Creates a server that says where callers may connect. */
+/**
+ * Creates a server that answers where callers may connect.
+ *
+ * @param answer returns undefined if no addresses are known yet.
+ */
 export const createDirectoryServer = (
   address: configuration.Address,
   path: string,
-  answer: (question: DirectoryQuery) => unknown,
+  answer: (query: DirectoryQuery) => unknown,
 ): AuxiliaryServer =>
   createServer(address, {
     method: 'GET',
@@ -104,7 +109,7 @@
     },
   });
 
-/** Creates a server that gives metrics as text. */
+/** Creates a server that returns metrics as text. */
 export const createMetricsServer = (
   address: configuration.Address,
   format: () => Promise<string>,
@@ -138,7 +143,7 @@
   {method, path, answer}: Endpoint,
   request: http.IncomingMessage,
 ): Promise<Answer> => {
-  const target = `http://side${request.url ?? '/'}`;
+  const target = `http://auxiliary${request.url ?? '/'}`;
   if (request.method !== method || !URL.canParse(target)) {
     return NOT_FOUND;
   }
@@ -164,7 +169,7 @@
   response.end(bytes);
 };
 
-/** A message's text; undefined where it is cut off, too long or not readable. */
+/** A message's text; undefined if it is cut off, too long or malformed. */
 const readText = async (
   request: http.IncomingMessage,
 ): Promise<string | undefined> => {
@@ -176,7 +181,7 @@
     const options = {maxOutputLength: MAX_MESSAGE_BYTES};
     return zlib.gunzipSync(bytes, options).toString();
   } catch {
-    // The sender is told by the status.
+    // The sender gets status 400.
     return undefined;
   }
 };
--- a/packages/gateway/src/buffered-run.ts
+++ b/packages/gateway/src/buffered-run.ts
@@ -1,4 +1,7 @@
-/** Runs a request whose answer is passed on whole. */
+/**
+ * Runs a request whose answer is buffered, so that the caller only gets a
+ * complete one and a broken answer can be requested again.
+ */
 import type * as callerAnswer from './caller-answer.js';
 import * as runContext from './run-context.js';
 import * as rawHeaders from './raw-headers.js';
@@ -7,19 +10,19 @@
 import * as sendAttempt from './send-attempt.js';
 
 /**
- * Longest wait for a connection, in milliseconds. A connection takes a round
- * trip between zones, a few ms; an upstream that has not accepted by then is
- * dark, and another can still answer on time.
+ * Connect timeout, in milliseconds. A connection takes a round trip between
+ * zones, a few ms; an upstream that has not accepted by then is down, and
+ * another one can still answer on time.
  */
 const CONNECT_TIMEOUT_MS = 100;
 
-/** Sends of one request that may be refused without running. */
+/** Extra sends of one request for those that are refused without running. */
 const MAX_REFUSED_SENDS = 4;
 
-/** When to come back after a refusal for want of an upstream, in ms. */
+/** `Retry-After` when no upstream may take the request, in milliseconds. */
 const RETRY_AFTER_MS = 100;
 
-/** An answer that is there whole. */
+/** An upstream's complete answer. */
 export interface WholeAnswer {
   readonly kind: 'answer';
   readonly upstream: string;
@@ -27,7 +30,7 @@
   readonly body: Buffer;
 }
 
-/** How one try ended. */
+/** How one attempt ended. */
 type AttemptResult =
   WholeAnswer | {readonly kind: 'not_run'} | {readonly kind: 'unknown'};
 
@@ -39,7 +42,7 @@
 /** One request to a plain service. */
 export class BufferedRun {
   private readonly excluded = new Set<string>();
-  /** Upstreams on which it may have run. */
+  /** Number of upstreams on which the request may have run. */
   private possibleRuns = 0;
   private sends = 0;
   private last: WholeAnswer | undefined;
@@ -49,16 +52,16 @@
     private readonly context: runContext.RunContext,
   ) {}
 
-  /** Runs the request; the answer is an upstream's or the gateway's own. */
+  /** Runs the request; resolves to an upstream's answer or a refusal. */
   async run(): Promise<WholeAnswer | refusals.Refusal> {
-    const isOnce = this.context.request.route.kind === 'at_most_once';
-    const answer = isOnce
+    const isAtMostOnce = this.context.request.route.kind === 'at_most_once';
+    const answer = isAtMostOnce
       ? await this.runAtMostOnce()
       : await this.runRepeatable();
     return answer ?? this.last ?? this.explainFailure();
   }
 
-  /** Sends again only what certainly has not run. */
+  /** Sends the request again only if it has certainly not run. */
   private async runAtMostOnce(): Promise<WholeAnswer | undefined> {
     for (;;) {
       const pending = this.startAttempt(this.context.signal);
@@ -73,8 +76,8 @@
   }
 
   /**
-   * Sends again what failed, and what takes much longer than usual: the first
-   * good answer counts, and the other try is given up.
+   * Retries failed attempts and hedges slow ones: the first good answer is
+   * used, and the other attempt is aborted.
    */
   private async runRepeatable(): Promise<WholeAnswer | undefined> {
     const abortController = new AbortController();
@@ -113,7 +116,7 @@
     return undefined;
   }
 
-  /** The next result, or `late` when a second upstream should be tried. */
+  /** The next result, or `late` when a hedged attempt should start. */
   private async waitForNext(
     pending: ReadonlySet<Promise<FinishedAttempt>>,
   ): Promise<FinishedAttempt | 'late'> {
@@ -125,12 +128,12 @@
       service.name,
       route.latencyTargetMs,
     );
-    const waiting = new AbortController();
+    const hedgeTimer = new AbortController();
     const late = this.dependencies.clock
-      .sleep(waitMs, waiting.signal)
+      .sleep(waitMs, hedgeTimer.signal)
       .then(() => 'late' as const);
     const next = await Promise.race([...pending, late]);
-    waiting.abort();
+    hedgeTimer.abort();
     return next;
   }
 
@@ -151,7 +154,7 @@
     return {reason: 'no_upstream', retryAfterMs: RETRY_AFTER_MS};
   }
 
-  /** Begins a try; undefined where none is possible. */
+  /** Starts an attempt; undefined if none may be sent or placed. */
   private startAttempt(
     signal: AbortSignal,
   ): Promise<AttemptResult> | undefined {
@@ -221,7 +224,7 @@
   }
 }
 
-/** A try's result, and which try it was. */
+/** An attempt's result, with the promise that identifies the attempt. */
 interface FinishedAttempt {
   readonly result: AttemptResult;
   readonly attempt: Promise<FinishedAttempt>;
--- a/packages/gateway/src/caller-answer.ts
+++ b/packages/gateway/src/caller-answer.ts
@@ -1,15 +1,15 @@
-/** The answer to one caller: begun once, and never made to look complete. */
+/** The answer to one caller. A partial answer never looks complete. */
 import type * as http from 'node:http';
 import type * as rawHeaders from './raw-headers.js';
 import * as refusals from './refusal.js';
 
-/** Head of an answer. */
+/** Status and headers of an answer. */
 export interface AnswerHead {
   readonly status: number;
   readonly headers: rawHeaders.RawHeaders;
 }
 
-/** Writes one answer. */
+/** Writes the answer to one request. */
 export class CallerAnswer {
   private begun = false;
   private finished = false;
@@ -18,21 +18,21 @@
     private readonly response: http.ServerResponse,
     /** Whether the connection is to be closed after this answer. */
     private readonly closesConnection: () => boolean,
-    /** Called when the head goes out. */
+    /** Called when the head is sent. */
     private readonly onBegin: () => void,
   ) {}
 
-  /** Whether the head has gone out. */
+  /** Whether the head has been sent. */
   get hasBegun(): boolean {
     return this.begun;
   }
 
-  /** Whether nothing more can be sent: answered, broken off, or caller gone. */
+  /** Whether nothing more can be sent: answered, broken off or disconnected. */
   get isOver(): boolean {
     return this.finished || this.response.destroyed;
   }
 
-  /** Sends a whole answer. */
+  /** Sends a complete answer. */
   send(head: AnswerHead, body: Buffer): void {
     if (this.isOver) {
       return;
@@ -42,7 +42,7 @@
     this.response.end(body);
   }
 
-  /** Sends an answer of the gateway's own. */
+  /** Sends a refusal by the gateway. */
   refuse(refusal: refusals.Refusal): void {
     const {status, headers, body} = refusals.formatRefusal(refusal);
     this.send({status, headers}, body);
@@ -56,14 +56,14 @@
     this.response.writeHead(status, [...headers, ...extra]);
   }
 
-  /** Sends a part of a stream. */
+  /** Sends bytes of a stream. */
   write(bytes: Buffer): void {
     if (!this.isOver) {
       this.response.write(bytes);
     }
   }
 
-  /** Ends a stream that is complete. */
+  /** Ends a complete stream. */
   end(): void {
     if (!this.isOver) {
       this.finished = true;
@@ -72,8 +72,9 @@
   }
 
   /**
-   * Breaks the answer off. The connection is closed without the mark of a
-   * stream's end: a caller would take a part of the answer for the whole.
+   * Breaks the answer off: closes the connection without the end marker of the
+   * stream, so that the caller does not take a partial answer for a complete
+   * one.
    */
   breakOff(): void {
     this.finished = true;
--- a/packages/gateway/src/caller-request.ts
+++ b/packages/gateway/src/caller-request.ts
@@ -1,28 +1,28 @@
-/** A caller's request, read whole. */
+/** Parses a caller's request, whose body has been read to its end. */
 import type * as http from 'node:http';
 import type * as headerNames from './header-names.js';
 import * as rawHeaders from './raw-headers.js';
 
-/** One part of a prompt. Requests that begin alike share parts. */
+/** One part of a prompt; requests with a common prefix share its parts. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What a request to a model says of itself. */
+/** Sizes that a request to a model declares. */
 export interface GenerationSize {
   readonly promptTokens: number;
-  /** Most tokens of the answer. */
+  /** Maximum tokens of the answer. */
   readonly maxTokens: number;
-  /** The caller's guess of the answer's tokens, if it has one. */
+  /** The caller's estimate of the answer's tokens, if it gave one. */
   readonly expectedTokens: number | undefined;
   readonly parts: readonly PromptPart[];
 }
 
-/** Part of the most tokens that an answer takes where no guess is given. */
+/** Fraction of `maxTokens` that an answer is assumed to take by default. */
 const DEFAULT_ANSWER_FRACTION = 0.5;
 
-/** Tokens of the answer to expect. */
+/** Expected tokens of the answer. */
 export const estimateAnswerTokens = ({
   maxTokens,
   expectedTokens,
@@ -31,7 +31,7 @@
 
 /** A request as a caller sent it. */
 export interface CallerRequest {
-  /** Empty where the caller gave none. */
+  /** Empty if the caller gave none. */
   readonly id: string;
   readonly method: string;
   /** Path and query, byte for byte. */
@@ -51,7 +51,7 @@
   readonly generation: GenerationSize | undefined;
 }
 
-/** Wait assumed of a caller that does not say how long it waits, in ms. */
+/** Timeout assumed of a caller that does not state one, in milliseconds. */
 const DEFAULT_CALLER_TIMEOUT_MS = 60_000;
 
 const parsePromptParts = (text: string | undefined): readonly PromptPart[] =>
@@ -90,7 +90,7 @@
     : DEFAULT_CALLER_TIMEOUT_MS;
 };
 
-/** Puts a request together from its head and its whole body. */
+/** Creates a request from its head and its complete body. */
 export const createCallerRequest = (
   message: http.IncomingMessage,
   body: Buffer,
--- a/packages/gateway/src/caller-server.ts
+++ b/packages/gateway/src/caller-server.ts
@@ -1,4 +1,4 @@
-/** Listens for callers. */
+/** HTTP server for callers. */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 import type * as configuration from '@amaranthknot/configuration';
@@ -11,26 +11,26 @@
   response: http.ServerResponse,
 ) => Promise<void>;
 
-/** Largest head of a request before any configuration is known, in bytes. */
+/** Largest request head before a configuration is known, in bytes. */
 const INITIAL_MAX_HEADER_BYTES = 65_536;
 
-/** How often the server looks for callers that are too slow, in ms. */
+/** Interval of checks for callers that are too slow, in milliseconds. */
 const CONNECTION_CHECK_INTERVAL_MS = 500;
 
 /**
- * Time by which this server waits longer for the next request on a connection
- * than the configuration says, in ms: a caller that reuses its connection at
- * the last moment must not meet its close.
+ * Time added to the configured idle timeout of connections, in milliseconds, so
+ * that a caller that reuses its connection at the last moment does not find it
+ * closed.
  */
 const IDLE_MARGIN_MS = 1_000;
 
 const MALFORMED = 'HTTP/1.1 400 Bad Request\r\nConnection: close\r\n\r\n';
 
 /**
- * Hands every request over as it came: paths and headers are passed on byte
- * for byte, and answers begin while the upstream's still arrives. It is the
- * runtime's own server: nothing of a framework's would be used here, and
- * loading one takes two fifths of the start of an instance whose callers wait.
+ * Hands each request over as it came: paths and headers are forwarded byte for
+ * byte, and an answer begins while the upstream's still arrives. Uses
+ * `node:http` directly: no feature of a framework would be used, and loading
+ * one takes two fifths of an instance's start, during which callers wait.
  */
 export class CallerServer {
   private readonly listener: http.Server;
@@ -53,20 +53,20 @@
     });
   }
 
-  /** Takes over how long callers may be slow or idle. */
+  /** Applies the configured timeouts for slow and idle callers. */
   applyLimits(limits: routing.CallerLimits): void {
     this.listener.headersTimeout = limits.headerTimeoutMs;
     this.listener.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS;
   }
 
-  /** Listens; rejects where the address can't be had. */
+  /** Starts to listen; rejects if the address is not available. */
   start(): Promise<void> {
     return httpListener.listen(this.listener, this.address);
   }
 
   /**
-   * Stops listening and closes what is idle; what is still in progress after
-   * `timeoutMs` is cut.
+   * Stops listening and closes idle connections; those still in use after
+   * `timeoutMs` are cut.
    */
   stop(timeoutMs: number): Promise<void> {
     return httpListener.stopListening(this.listener, timeoutMs);
@@ -74,9 +74,8 @@
 }
 
 /**
- * Answers bytes that are no request. On a connection with a request still in
- * progress such an answer would be taken for that request's, so it is closed
- * without one.
+ * Answers bytes that are not a valid request. A connection with a request still
+ * in progress is closed instead: the answer would be taken for that request's.
  */
 const refuseMalformed = (socket: net.Socket): void => {
   const {_httpMessage: inProgress} = socket as unknown as {
--- a/packages/gateway/src/connection-pool.ts
+++ b/packages/gateway/src/connection-pool.ts
@@ -1,28 +1,28 @@
-/** Connections to upstreams, kept between requests. */
+/** Keeps connections to upstreams open between requests. */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 import type * as routing from '@amaranthknot/routing';
 
 /**
- * Idle connections kept to one upstream. All instances share what an upstream
- * accepts; requests in progress need theirs first.
+ * Maximum number of idle connections to one upstream. All instances share the
+ * connections that an upstream accepts, and requests in progress come first.
  */
 const MAX_IDLE_PER_UPSTREAM = 8;
 
 /**
- * Longest idle time of a kept connection, in milliseconds. Upstreams close
- * idle ones after some seconds, and say so in whole seconds; one that is
- * reused as it is closed loses the request.
+ * Longest idle time of a kept connection, in milliseconds. Upstreams close idle
+ * connections after some seconds, which they announce in whole seconds; a
+ * request on a connection that is just being closed is lost.
  */
 const MAX_IDLE_MS = 4_000;
 
 /**
- * An agent whose idle connections are closed as soon as bytes arrive on them.
- * An upstream may send a second answer after a complete one; read later, it
- * would stand where the next request's answer is expected.
+ * An agent that closes an idle connection as soon as bytes arrive on it. An
+ * upstream may send a second answer after a complete one, which would be taken
+ * for the answer to the next request.
  */
 class GuardedAgent extends http.Agent {
-  /** Whether the connection is kept; the library's types leave that out. */
+  /** Returns whether the connection is kept; the library's types omit that. */
   override keepSocketAlive(socket: net.Socket): boolean {
     const keep = super.keepSocketAlive.bind(this) as (
       socket: net.Socket,
@@ -45,19 +45,19 @@
   this.destroy();
 }
 
-/** Leaves connections with a request in progress alone. */
+/** Closes idle connections; those with a request in progress stay open. */
 const closeIdle = (agent: http.Agent): void => {
   for (const sockets of Object.values(agent.freeSockets)) {
     sockets?.forEach(socket => socket.destroy());
   }
 };
 
-/** One agent for each upstream, and one that keeps nothing. */
+/** One agent for each upstream, and one that keeps no connections. */
 export class ConnectionPool {
   private readonly agents = new Map<string, GuardedAgent>();
   private readonly unpooledAgent = new http.Agent({keepAlive: false});
 
-  /** The agent for a request to `upstream`. */
+  /** The agent for requests to `upstream`; `fresh` keeps no connection. */
   agentOf(
     upstream: routing.Upstream,
     connection: 'fresh' | 'kept',
--- a/packages/gateway/src/escalation-policy.ts
+++ b/packages/gateway/src/escalation-policy.ts
@@ -1,11 +1,16 @@
-/** Whether a capable model runs after a cheap one, by what engines bear. */
+/**
+ * Decides whether the capable model runs after the cheap one.
+ *
+ * As the engines of capable models fill up, fewer answers are escalated: an
+ * escalation then takes capacity from other requests.
+ */
 import * as decisions from '@amaranthknot/decisions';
 import type * as routing from '@amaranthknot/routing';
 import * as callerRequest from './caller-request.js';
 import type * as runContext from './run-context.js';
 import type * as upstreamCatalog from './upstream-catalog.js';
 
-/** Parts that the choice works with. */
+/** What the policy needs. */
 export interface EscalationPolicyOptions {
   readonly now: () => number;
   readonly catalog: upstreamCatalog.UpstreamCatalog;
@@ -15,34 +20,34 @@
 }
 
 /**
- * Part of the saved repeats that is left for broken answers: a second opinion
- * is worth less than an answer that would be lost.
+ * Fraction of the repeat budget that is reserved for broken answers: an
+ * escalation is worth less than an answer that would be lost.
  */
 const REPEAT_RESERVE_FRACTION = 0.25;
 
-/** Whether the capable model runs, and what that was decided by. */
+/** Whether the capable model runs, and the inputs of the decision. */
 export interface EscalationDecision {
-  /** What the cheap model thinks of its answer, 0 to 100. */
+  /** The cheap model's confidence in its answer, 0 to 100. */
   readonly confidence: number;
-  /** How dear the capable model is now, 1 and more. */
+  /** How scarce the capable model is now, 1 or more. */
   readonly scarcity: number;
-  /** Whether enough repeats are left. */
+  /** Whether the repeat budget allows another run. */
   readonly hasBudget: boolean;
   readonly runs: boolean;
 }
 
 interface Meters {
   readonly waits: decisions.ScarcityMeter;
-  readonly reading: decisions.PrefillBacklog;
+  readonly prefill: decisions.PrefillBacklog;
 }
 
-/** What one instance knows of the capable models of all services. */
+/** Decides on escalations from the load of capable models, by service. */
 export class EscalationPolicy {
   private readonly meters = new Map<string, Meters>();
 
   constructor(private readonly options: EscalationPolicyOptions) {}
 
-  /** Judges whether the capable model should run after the cheap one. */
+  /** Decides whether the capable model runs after the cheap one. */
   decide(
     {caller, service, route}: runContext.AcceptedRequest,
     capable: string | undefined,
@@ -59,17 +64,17 @@
       return {confidence, scarcity, hasBudget, runs: false};
     }
     const {promptTokens, maxTokens} = generation;
-    const stake = {
+    const profile = {
       promptTokens,
       maxTokens,
       expectedTokens: callerRequest.estimateAnswerTokens(generation),
       capablePrice: model.cost,
     };
-    const runs = decisions.shouldEscalate(confidence, stake, scarcity);
+    const runs = decisions.shouldEscalate(confidence, profile, scarcity);
     return {confidence, scarcity, hasBudget, runs};
   }
 
-  /** Notes the wait for a first token of `model`, in vain or not. */
+  /** Records a wait for the first token of `model`, also a timed-out one. */
   recordWait(
     {caller, route, service}: runContext.AcceptedRequest,
     model: string | undefined,
@@ -79,21 +84,21 @@
     if (model === undefined || model !== route.models.at(-1)) {
       return;
     }
-    const {waits, reading} = this.metersOf(service);
+    const {waits, prefill} = this.metersOf(service);
     waits.record(waitMs, route.latencyTargetMs, this.options.now());
     if (!timedOut) {
       const tokens = caller.generation?.promptTokens ?? 0;
-      reading.record(tokens, waitMs, this.options.now());
+      prefill.record(tokens, waitMs, this.options.now());
     }
   }
 
-  /** How dear the capable models of a service are now, 1 and more. */
+  /** How scarce the capable models of a service are now, 1 or more. */
   private findScarcity(
     service: routing.Service,
     {latencyTargetMs}: routing.Route,
   ): number {
     const {now, catalog, picker, isZoneOut} = this.options;
-    const {waits, reading} = this.metersOf(service);
+    const {waits, prefill} = this.metersOf(service);
     const usable = catalog
       .all()
       .map(({upstream}) => upstream)
@@ -102,7 +107,7 @@
           name === service.name && state === 'ready' && !isZoneOut(zone),
       );
     const waiting = picker.sumWaitingTokens(usable.map(({id}) => id));
-    const backlogMs = reading.waitMs(waiting, usable.length, now());
+    const backlogMs = prefill.waitMs(waiting, usable.length, now());
     return Math.max(
       waits.value(now()),
       decisions.scarcityOfBacklog(backlogMs, latencyTargetMs),
@@ -116,7 +121,7 @@
     }
     const created = {
       waits: new decisions.ScarcityMeter(),
-      reading: new decisions.PrefillBacklog(),
+      prefill: new decisions.PrefillBacklog(),
     };
     this.meters.set(name, created);
     return created;
--- a/packages/gateway/src/event-relay.ts
+++ b/packages/gateway/src/event-relay.ts
@@ -1,28 +1,32 @@
-/** Passes the events of one answer on, from one upstream after the other. */
+/**
+ * Relays the events of one answer to its caller, across fail-overs from one
+ * upstream to the next. Torn events, gaps and repeats are not relayed.
+ */
 import type * as callerAnswer from './caller-answer.js';
 import * as eventSplitter from './event-splitter.js';
 import type * as runContext from './run-context.js';
 import type * as stallWatchdog from './stall-watchdog.js';
 import type * as upstreamCall from './upstream-call.js';
 
-/** A stream of one upstream. */
+/** An open stream from one upstream. */
 export interface RelayedStream {
   readonly placed: runContext.PlacedAttempt;
   readonly answer: upstreamCall.UpstreamAnswer;
-  /** Ends this try alone. */
+  /** Aborts this attempt only. */
   readonly abortController: AbortController;
 }
 
-/** How the passing on of one upstream's stream ended. */
+/** How the relay of one upstream's stream ended. */
 export type RelayEnd = 'complete' | 'broken';
 
-/** Passes events on to one caller. */
+/** Relays the events of one request to its caller. */
 export class EventRelay {
   private lastId: number | undefined;
 
   /**
-   * @param initialLastEventId number of the last event that the caller had before.
-   * @param signal aborts when nobody waits any longer.
+   * @param initialLastEventId number of the last event that the caller already
+   *     had when it sent the request.
+   * @param signal aborts when the request ends early.
    */
   constructor(
     private readonly caller: callerAnswer.CallerAnswer,
@@ -30,15 +34,15 @@
     private readonly signal: AbortSignal,
   ) {}
 
-  /** Number of the last event that was passed on. */
+  /** Number of the last event that was relayed; undefined before the first. */
   get lastEventId(): number | undefined {
     return this.lastId;
   }
 
   /**
-   * Passes events on as they arrive, whole ones only.
+   * Relays complete events as they arrive; resolves when the stream ends.
    *
-   * @param watchdog watches for silence; it is touched by each part that comes.
+   * @param watchdog stall watchdog; each chunk that arrives resets it.
    */
   run(
     {placed, answer, abortController}: RelayedStream,
@@ -48,7 +52,7 @@
     const {signal} = this;
     const splitter = new eventSplitter.EventSplitter();
     return new Promise(resolve => {
-      const giveUp = () => {
+      const abort = () => {
         abortController.abort('not_needed' satisfies runContext.AbortReason);
       };
       const finish = (end: RelayEnd) => {
@@ -60,13 +64,13 @@
       let isInOrder = true;
       body.on('data', (chunk: Buffer) => {
         watchdog.reset();
-        // What follows a gap is not passed on, be it the stream's end.
+        // Nothing after a gap is relayed, not even the end of the stream.
         isInOrder &&= splitter.push(chunk).every(event => {
           placed.recordEvent();
           return this.forward(event);
         });
         if (!isInOrder || splitter.isOverlong) {
-          giveUp();
+          abort();
         }
       });
       body.once('end', () => {
@@ -87,13 +91,13 @@
   }
 
   /**
-   * Passes one event on; false where it does not follow the one before. A
-   * gap or a repeat would reach the caller as a stream that looks whole.
+   * Relays one event; false if its number does not follow the previous one. A
+   * gap or a repeat would reach the caller in a stream that looks complete.
    */
   private forward({id, bytes}: eventSplitter.StreamEvent): boolean {
     if (id !== undefined) {
-      const before = this.lastId ?? Number(this.initialLastEventId ?? 0);
-      if (id !== before + 1) {
+      const previous = this.lastId ?? Number(this.initialLastEventId ?? 0);
+      if (id !== previous + 1) {
         return false;
       }
       this.lastId = id;
--- a/packages/gateway/src/event-splitter.ts
+++ b/packages/gateway/src/event-splitter.ts
@@ -1,20 +1,20 @@
 /**
- * Cuts a stream of server-sent events into whole events, so that a stream
- * that breaks off in the middle of one can go on elsewhere without a torn
+ * Splits a stream of server-sent events into complete events, so that a stream
+ * that breaks off within an event can resume at another upstream without a torn
  * event in between.
  */
 
-/** One whole event. */
+/** One complete event. */
 export interface StreamEvent {
-  /** Its number; undefined for events without one. */
+  /** Its number; undefined if it has none. */
   readonly id: number | undefined;
-  /** All its bytes, the empty line at its end included. */
+  /** Its bytes, including the empty line at its end. */
   readonly bytes: Buffer;
 }
 
 /**
- * Longest event, in bytes. Events hold a few tokens; an upstream that never
- * ends one would fill the memory.
+ * Longest event, in bytes. Events hold a few tokens; one that an upstream never
+ * ends would fill the memory.
  */
 const MAX_EVENT_BYTES = 1_048_576;
 
@@ -28,7 +28,7 @@
   return match ? Number(match[1]) : undefined;
 };
 
-/** End of the first event in `bytes`, or -1. */
+/** Index just past the first complete event after `from`; -1 if none. */
 const findEnd = (bytes: Buffer, from: number): number => {
   let at = bytes.indexOf(LINE_FEED, from);
   while (at !== -1) {
@@ -41,21 +41,21 @@
   return -1;
 };
 
-/** Splits one stream. */
+/** Splits the bytes of one stream. */
 export class EventSplitter {
   private rest: Buffer = Buffer.alloc(0);
 
-  /** Bytes of an event that is not yet whole. */
+  /** Number of bytes of the event that is still incomplete. */
   get pendingBytes(): number {
     return this.rest.length;
   }
 
-  /** Whether an event has grown beyond what is kept. */
+  /** Whether the incomplete event is longer than allowed. */
   get isOverlong(): boolean {
     return this.rest.length > MAX_EVENT_BYTES;
   }
 
-  /** Takes in bytes; returns the events that are now whole. */
+  /** Adds bytes; returns the events that they complete. */
   push(chunk: Buffer): readonly StreamEvent[] {
     this.rest =
       this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
--- a/packages/gateway/src/evidence-table.ts
+++ b/packages/gateway/src/evidence-table.ts
@@ -1,29 +1,29 @@
-/** Evidence on the two versions of one order, by route and instance. */
+/** Evidence on the two versions of one rollout, by route and instance. */
 import * as decisions from '@amaranthknot/decisions';
 import type * as protocol from '@amaranthknot/protocol';
 
-/** Evidence of one order as it goes from instance to instance. */
+/** Counts of one instance on one route, as instances exchange them. */
 export type EvidenceRow = Omit<protocol.OrderEvidence, 'order'>;
 
-/** Sums over all instances on one route of an order. */
+/** Counts summed over all instances on one route. */
 export type EvidenceSumRow = Omit<protocol.EvidenceSum, 'order'>;
 
-/** What to add to the counts of a version. */
+/** Counts to add to those of a version. */
 export type CountIncrement = Partial<decisions.VersionCounts>;
 
 /**
- * Routes of one order whose answers are counted apart; bounds the messages
- * between instances. Answers of further routes count together.
+ * Maximum number of routes that are counted separately for one rollout; bounds
+ * the size of messages between instances. Further routes are counted together.
  */
 const MAX_ROUTES = 8;
 
-/** Name under which answers of further routes are counted. */
+/** Route name under which further routes are counted. */
 const OTHER_ROUTES = '*';
 
-/** Time for which a watcher's sums count, in ms: some of its answers. */
+/** How long a watcher's sums are used, in ms: a few of its answers. */
 const REPORTED_SUMS_TTL_MS = 1_500;
 
-/** Name under which sums over all instances are kept. */
+/** Instance name under which sums over all instances are stored. */
 const ALL_INSTANCES = 'all';
 
 interface ReportedSums {
@@ -31,23 +31,24 @@
   readonly byRoute: decisions.EvidenceByRoute;
 }
 
-/** What one instance knows of the versions of one order. */
+/** The evidence on one rollout that one instance knows. */
 export class EvidenceTable {
-  /** Counts by route and instance: own ones, and those that peers told. */
+  /** Counts by route and instance: this instance's and those of peers. */
   private readonly byRoute = new Map<string, decisions.EvidenceByInstance>();
   private reportedSums: ReportedSums | undefined;
 
-  /** @param incarnation names this start of this instance. */
+  /** @param incarnation identifies this start of this instance. */
   constructor(private readonly incarnation: string) {}
 
-  /** Counts what this instance saw of a version. */
+  /** Adds an observation of this instance. */
   count(
     route: string,
     version: decisions.RolloutVersion,
     increment: CountIncrement,
   ): void {
-    const isApart = this.byRoute.has(route) || this.byRoute.size < MAX_ROUTES;
-    const name = isApart ? route : OTHER_ROUTES;
+    const isSeparate =
+      this.byRoute.has(route) || this.byRoute.size < MAX_ROUTES;
+    const name = isSeparate ? route : OTHER_ROUTES;
     const ofRoute = this.byRoute.get(name) ?? {};
     const before = ofRoute[this.incarnation] ?? decisions.NO_EVIDENCE;
     const after = {
@@ -57,27 +58,27 @@
     this.byRoute.set(name, {...ofRoute, [this.incarnation]: after});
   }
 
-  /** Takes in what an instance counted. */
-  merge({incarnation, route, old, new: fresh}: EvidenceRow): void {
+  /** Merges the counts of another instance. */
+  merge({incarnation, route, old, new: newCounts}: EvidenceRow): void {
     const known = this.byRoute.get(route) ?? {};
     const merged = decisions.mergeEvidence(known, {
-      [incarnation]: {old, new: fresh},
+      [incarnation]: {old, new: newCounts},
     });
     this.byRoute.set(route, merged);
   }
 
-  /** Takes in sums that a watcher made over all instances. */
+  /** Applies a watcher's sums over all instances. */
   applySums(sums: readonly EvidenceSumRow[], nowMs: number): void {
     const byRoute = new Map(
-      sums.map(({route, old, new: fresh}) => [
+      sums.map(({route, old, new: newCounts}) => [
         route,
-        {[ALL_INSTANCES]: {old, new: fresh}},
+        {[ALL_INSTANCES]: {old, new: newCounts}},
       ]),
     );
     this.reportedSums = {atMs: nowMs, byRoute};
   }
 
-  /** Counts of all instances that are known, or of this one alone. */
+  /** Counts of all known instances, or only of this one. */
   rows(scope: 'all' | 'own'): readonly EvidenceRow[] {
     return [...this.byRoute].flatMap(([route, ofRoute]) =>
       Object.entries(ofRoute)
@@ -86,7 +87,7 @@
     );
   }
 
-  /** Counts added up over instances. */
+  /** Counts summed over instances. */
   sums(): readonly EvidenceSumRow[] {
     return [...this.byRoute].map(([route, ofRoute]) => ({
       route,
@@ -95,8 +96,8 @@
   }
 
   /**
-   * What versions are judged by: a watcher's sums while it tells them, which
-   * count this instance's answers too, else what peers told.
+   * The evidence to judge versions by: a watcher's sums while they are recent,
+   * which include this instance's counts, else the counts by instance.
    */
   current(nowMs: number): decisions.EvidenceByRoute {
     const {reportedSums} = this;
--- a/packages/gateway/src/followed-rollout.ts
+++ b/packages/gateway/src/followed-rollout.ts
@@ -1,4 +1,8 @@
-/** One roll-out as an instance follows it: its share, sessions and evidence. */
+/**
+ * One rollout as this instance follows it: traffic share, sessions, evidence.
+ *
+ * Sessions that are under way when it begins stay on the old version at first.
+ */
 import * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
 import type * as protocol from '@amaranthknot/protocol';
@@ -6,10 +10,10 @@
 import type * as routing from '@amaranthknot/routing';
 import * as evidenceTable from './evidence-table.js';
 
-/** Which version of a service a request is to run on. */
+/** Which versions of a service may run a request. */
 export type VersionChoice =
   | {readonly kind: 'any'}
-  /** `fallback`: any other version may take it where that one cannot. */
+  /** `fallback`: versions that may run it if no accepted one can. */
   | {
       readonly kind: 'only';
       readonly accepts: (version: string) => boolean;
@@ -17,25 +21,25 @@
       readonly subset: UpstreamSubset | undefined;
     };
 
-/** Some of the upstreams of a version, the same ones on all instances. */
+/** A subset of a version's upstreams, the same on all instances. */
 export interface UpstreamSubset {
-  /** Names the ranking by which they are chosen. */
+  /** Key of the rendezvous ranking that selects them. */
   readonly key: string;
-  /** Part of the version's upstreams; at least one is used. */
+  /** Fraction of the version's upstreams; at least one is used. */
   readonly fraction: number;
 }
 
-/** Parts that following an order works with. */
+/** What following a rollout needs. */
 export interface FollowedRolloutOptions {
   readonly clock: ports.Clock;
-  /** Names this start of this instance. */
+  /** Identifies this start of this instance. */
   readonly incarnation: string;
   readonly sessionMs: number;
   readonly limit: decisions.ExposureLimit;
   readonly log: telemetry.DecisionLog;
 }
 
-/** Sessions remembered of one order. */
+/** Maximum number of sessions remembered for one rollout. */
 const MAX_PINNED_SESSIONS = 2_000;
 
 const only = (accepts: (version: string) => boolean) =>
@@ -46,19 +50,19 @@
     subset: undefined,
   }) as const;
 
-/** Names an order: service and version. */
+/** Name of a rollout: `SERVICE/VERSION`. */
 export const rolloutNameOf = (rollout: routing.Rollout): string =>
   `${rollout.service}/${rollout.version}`;
 
-/** One order. */
+/** One rollout. */
 export class FollowedRollout {
   private startedAtMs: number;
   private verdict: decisions.VersionVerdict = 'unclear';
-  /** Sessions that must stay with the old version, by hash. */
+  /** Hashes of sessions that must stay on the old version. */
   private readonly pinned = new Set<number>();
   private readonly evidence: evidenceTable.EvidenceTable;
 
-  /** @param rollout as the store holds it; its state changes. */
+  /** @param rollout as stored; replaced when its state changes. */
   constructor(
     public rollout: routing.Rollout,
     private readonly options: FollowedRolloutOptions,
@@ -75,17 +79,17 @@
     return this.rollout.state === 'running';
   }
 
-  /** Time since the order, as far as this instance knows, in milliseconds. */
+  /** Time since the rollout began, as far as is known here, in ms. */
   get ageMs(): number {
     return this.options.clock.now() - this.startedAtMs;
   }
 
-  /** Sessions that this instance knows. */
+  /** Number of pinned sessions that this instance knows. */
   get pinnedCount(): number {
     return this.pinned.size;
   }
 
-  /** Which version a request is to run on. */
+  /** Chooses the version for a request; requests of a session share the key. */
   chooseVersion(sessionKey: string): VersionChoice {
     const {version: ordered, state} = this.rollout;
     const isNew = (version: string) => version === ordered;
@@ -106,17 +110,17 @@
     }
   }
 
-  /** Counts a sign of one of the two versions on a route. */
+  /** Adds an observation of one of the two versions on a route. */
   count(
     route: string,
     version: decisions.RolloutVersion,
     increment: evidenceTable.CountIncrement,
   ): void {
     this.evidence.count(route, version, increment);
-    this.judge();
+    this.updateVerdict();
   }
 
-  /** What this instance tells, but for its first `known` sessions. */
+  /** What this instance reports, without its first `skipCount` sessions. */
   progress(skipCount: number): protocol.RolloutProgress {
     return {
       order: this.name,
@@ -125,17 +129,17 @@
     };
   }
 
-  /** Evidence: all that is known, or this instance's own. */
+  /** Evidence of all instances, or only what this instance observed. */
   evidenceRows(scope: 'all' | 'own'): readonly protocol.OrderEvidence[] {
     return this.evidence.rows(scope).map(row => ({order: this.name, ...row}));
   }
 
-  /** Evidence added up over instances. */
+  /** Evidence summed over instances. */
   evidenceSums(): readonly protocol.EvidenceSum[] {
     return this.evidence.sums().map(sum => ({order: this.name, ...sum}));
   }
 
-  /** Takes in what a peer told of all orders. */
+  /** Merges a peer's report, which covers all rollouts. */
   merge(
     progress: readonly protocol.RolloutProgress[],
     evidence: readonly protocol.OrderEvidence[],
@@ -146,10 +150,10 @@
       .forEach(row => {
         this.evidence.merge(row);
       });
-    this.judge();
+    this.updateVerdict();
   }
 
-  /** Takes in sums over all instances that a watcher made of all orders. */
+  /** Applies a watcher's sums over all instances, which cover all rollouts. */
   applySums(
     progress: readonly protocol.RolloutProgress[],
     sums: readonly protocol.EvidenceSum[],
@@ -157,33 +161,33 @@
     this.mergeProgress(progress);
     const ownSums = sums.filter(({order}) => order === this.name);
     this.evidence.applySums(ownSums, this.options.clock.now());
-    this.judge();
+    this.updateVerdict();
   }
 
-  /** How the order should end now; undefined where it goes on. */
+  /** The state in which the rollout should end now; undefined to continue. */
   findEnd(): routing.RolloutState | undefined {
-    this.judge();
+    this.updateVerdict();
     return decisions.findRolloutEnd(this.timing(), this.verdict);
   }
 
   /**
-   * As many upstreams as the share is of the traffic, so that each carries
-   * about as much as all will later. One alone would be overloaded, and a good
-   * version be rolled back for it.
+   * Selects the same fraction of the upstreams as the share of the traffic, so
+   * that each carries about the load that it will have at the end. A single
+   * upstream would be overloaded, and a good version rolled back for it.
    */
   private findSubset(): UpstreamSubset | undefined {
-    const outlook = this.outlook();
-    return decisions.isConcentrated(outlook)
-      ? {key: this.name, fraction: decisions.findRolloutShare(outlook)}
+    const conditions = this.conditions();
+    return decisions.isConcentrated(conditions)
+      ? {key: this.name, fraction: decisions.findRolloutShare(conditions)}
       : undefined;
   }
 
   private mergeProgress(progress: readonly protocol.RolloutProgress[]): void {
-    for (const heard of progress.filter(({order}) => order === this.name)) {
-      const startedAtMs = this.options.clock.now() - heard.ageMs;
-      // The first to see the order knows its age best.
+    for (const report of progress.filter(({order}) => order === this.name)) {
+      const startedAtMs = this.options.clock.now() - report.ageMs;
+      // The instance that saw the rollout first knows its age best.
       this.startedAtMs = Math.min(this.startedAtMs, startedAtMs);
-      heard.pinned.forEach(session => {
+      report.pinned.forEach(session => {
         this.pin(session);
       });
     }
@@ -201,7 +205,7 @@
     };
   }
 
-  private outlook(): decisions.RolloutConditions {
+  private conditions(): decisions.RolloutConditions {
     const timing = this.timing();
     const {limit} = this.options;
     return {
@@ -219,20 +223,21 @@
   private assign(sessionKey: string): decisions.RolloutVersion {
     const timing = this.timing();
     const hash = decisions.hashText(sessionKey);
-    const isMoving = decisions.mayMoveSessions(timing);
+    const mayMove = decisions.mayMoveSessions(timing);
     if (timing.ageMs < decisions.findHoldMs(timing.sessionMs)) {
-      // Under way at the order, it must not change versions at first.
+      // The session was under way when the rollout began: for now it must not
+      // change versions.
       const {share} = this.options.limit;
-      const isNext = decisions.assignVersion(this.name, sessionKey, share);
-      if (isNext === 'new') {
+      const nextVersion = decisions.assignVersion(this.name, sessionKey, share);
+      if (nextVersion === 'new') {
         this.pin(hash);
       }
       return 'old';
     }
-    if (!isMoving && this.pinned.has(hash)) {
+    if (!mayMove && this.pinned.has(hash)) {
       return 'old';
     }
-    const share = decisions.findRolloutShare(this.outlook());
+    const share = decisions.findRolloutShare(this.conditions());
     return decisions.assignVersion(this.name, sessionKey, share);
   }
 
@@ -242,7 +247,7 @@
     }
   }
 
-  private judge(): void {
+  private updateVerdict(): void {
     if (this.verdict === 'bad') {
       return;
     }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** Takes one request from its caller to its final answer. */
+/** Handles each caller's request from its arrival to its final answer. */
 import type * as http from 'node:http';
 import type * as telemetry from '@amaranthknot/telemetry';
 import * as acceptRequest from './accept-request.js';
@@ -9,56 +9,56 @@
 import type * as refusals from './refusal.js';
 import * as streamRun from './stream-run.js';
 
-/** Parts of the gateway. */
+/** What the gateway needs. */
 export interface GatewayDependencies extends runContext.RunDependencies {
   readonly random: () => number;
   readonly log: telemetry.DecisionLog;
   readonly activeTable: () => acceptRequest.ActiveTable | undefined;
-  /** Resolves when this instance knows enough to serve, or after a while. */
+  /** Resolves when this instance has synced, or after a time limit. */
   readonly whenSynced: () => Promise<void>;
-  /** Resolves when the configuration was confirmed, or can't be for now. */
+  /** Resolves when the configuration is confirmed, or cannot be for now. */
   readonly refreshTable: () => Promise<void>;
   readonly tableAgeLimits: acceptRequest.TableAgeLimits;
-  /** Called with each request that was accepted, at its end. */
+  /** Called at the end of each accepted request. */
   readonly onRequestEnd: (sample: telemetry.RequestSample) => void;
 }
 
-/** When the head of an answer went out; undefined while it has not. */
+/** When the head of an answer was sent; undefined before that. */
 interface AnswerTimes {
   begunAtMs?: number;
 }
 
 /**
- * How long before its deadline a request gets its final answer, in ms: the
- * answer has to reach the caller while it still waits.
+ * Time before its deadline at which a request is answered at the latest, in
+ * milliseconds, so that the answer reaches the caller while it still waits.
  */
 const ANSWER_MARGIN_MS = 20;
 
-/** Largest body taken before any configuration is known, in bytes. */
+/** Largest accepted body before a configuration is known, in bytes. */
 const INITIAL_MAX_BODY_BYTES = 1_048_576;
 
-/** Times of a planned stop, by the instance's clock. */
+/** Times of a graceful stop, by the instance's clock. */
 export interface StopTimes {
-  /** Until then all requests are taken, also such as may outlive the stop. */
+  /** Until then all requests are accepted, also those that may outlive it. */
   readonly acceptsAllUntilMs: number;
-  /** What is still in progress then is cut. */
+  /** Requests still in progress at this time are cut off. */
   readonly endsAtMs: number;
 }
 
-/** Handles requests of callers. */
+/** Handles the requests of callers. */
 export class Gateway {
   private active = 0;
-  /** Set once this instance stops. */
+  /** Set once this instance is stopping. */
   private stop: StopTimes | undefined;
 
   constructor(private readonly dependencies: GatewayDependencies) {}
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get inProgress(): number {
     return this.active;
   }
 
-  /** From now on every answer ends its connection. */
+  /** Begins a graceful stop: each answer now closes its connection. */
   beginStop(times: StopTimes): void {
     this.stop = times;
   }
@@ -81,8 +81,8 @@
     try {
       await this.read(message, receivedAtMs, response, answer, times);
     } catch (error) {
-      // A defect must neither stop the process nor say `not run` of a request
-      // that may have run.
+      // An internal error must not end the process, nor be answered as `not
+      // run`, because the request may have run.
       const reason = error instanceof Error ? error.stack : String(error);
       this.dependencies.log.warn('internal_error', {reason});
       this.answerInternalError(answer);
@@ -110,10 +110,10 @@
     if (body === 'gone') {
       return;
     }
-    const whole = body === 'too_large' ? Buffer.alloc(0) : body;
+    const content = body === 'too_large' ? Buffer.alloc(0) : body;
     const caller = callerRequest.createCallerRequest(
       message,
-      whole,
+      content,
       receivedAtMs,
       this.dependencies.headerConventions.headers,
     );
@@ -136,11 +136,11 @@
   }
 
   /**
-   * Whether this instance's end could cut a request.
+   * Whether the end of this instance could cut off a request.
    *
-   * Guards against requests lost in a planned stop: one that is taken in the
-   * last moment and has more time than the instance has is cut, though its
-   * caller could have gone elsewhere.
+   * Guards against requests lost in a graceful stop: one that is accepted late
+   * and whose deadline lies after the end would be cut off, although another
+   * instance could have served it.
    */
   private mayOutliveStop({deadlineMs}: runContext.AcceptedRequest): boolean {
     const {stop} = this;
@@ -203,7 +203,7 @@
     });
   }
 
-  /** Looks again where the configuration was too old to accept by it. */
+  /** Accepts a request, after a refresh if the configuration is too old. */
   private async accept(
     caller: callerRequest.CallerRequest,
   ): Promise<acceptRequest.Acceptance> {
@@ -242,8 +242,8 @@
       }
       return;
     }
-    const plain = new bufferedRun.BufferedRun(this.dependencies, context);
-    const result = await plain.run();
+    const buffered = new bufferedRun.BufferedRun(this.dependencies, context);
+    const result = await buffered.run();
     if ('reason' in result) {
       this.refuse(answer, log, result);
       return;
@@ -273,7 +273,7 @@
   }
 }
 
-/** Reads a caller's body whole. */
+/** Reads a caller's body; `gone` if the caller closed before its end. */
 const readRequestBody = (
   message: http.IncomingMessage,
   maxBytes: number,
--- a/packages/gateway/src/header-names.ts
+++ b/packages/gateway/src/header-names.ts
@@ -1,20 +1,20 @@
-/** Names of the headers that matter to the gateway, by meaning. */
+/** Names of the headers that the gateway reads or sets, by meaning. */
 
-/** One name for each meaning; lower and upper case do not matter. */
+/** One name for each meaning; case does not matter. */
 export interface HeaderNames {
-  /** Names one try of a caller; upstreams repeat it in their answers. */
+  /** Identifies one attempt of a caller; upstreams echo it in their answers. */
   readonly requestId: string;
   /** How long the sender will wait, in milliseconds. */
   readonly timeLeft: string;
   readonly apiKey: string;
   readonly workspace: string;
-  /** Upstream that a request is meant for; any other refuses it. */
+  /** Id of the upstream that a request is meant for; any other refuses it. */
   readonly expectedUpstream: string;
-  /** An upstream's signature of its answer, handed on unchanged. */
+  /** An upstream's signature of its answer, passed on unchanged. */
   readonly receipt: string;
   /** `running,waiting,slots` of the upstream that answers. */
   readonly load: string;
-  /** Requests a second that the upstream takes from all senders together. */
+  /** Requests a second that the upstream accepts from all senders together. */
   readonly rateLimit: string;
   /** Set in an answer that says that the request did not run. */
   readonly notRun: string;
@@ -22,23 +22,23 @@
   /** In answers to health checks: how long the upstream stays cold, in ms. */
   readonly coldFor: string;
   readonly model: string;
-  /** `PROMPT,MAX`: tokens of the prompt, and most tokens of the answer. */
+  /** `PROMPT,MAX`: tokens of the prompt, and maximum tokens of the answer. */
   readonly tokenCounts: string;
-  /** Parts of the prompt in order, as `ID:TOKENS`, separated by commas. */
+  /** Parts of the prompt in order, as comma-separated `ID:TOKENS`. */
   readonly promptParts: string;
-  /** The caller's guess of the answer's tokens. */
+  /** The caller's estimate of the answer's length, in tokens. */
   readonly lengthHint: string;
-  /** 0 to 100: what the model thinks of its answer. */
+  /** The model's confidence in its answer, 0 to 100. */
   readonly confidence: string;
   readonly session: string;
   readonly lastEventId: string;
-  /** 0 to 9 for an engine's queue; 0 comes first. */
+  /** Rank in an engine's queue, 0 to 9; 0 comes first. */
   readonly priority: string;
 }
 
-/** How the gateway and its neighbours talk HTTP. */
+/** Headers by which callers, instances and upstreams communicate. */
 export interface HeaderConventions {
   readonly headers: HeaderNames;
-  /** Headers that only instances set; what callers send is dropped. */
+  /** Headers that only instances may set; those of callers are dropped. */
   readonly instanceOnlyHeaders: readonly string[];
 }
--- a/packages/gateway/src/http-listener.ts
+++ b/packages/gateway/src/http-listener.ts
@@ -1,8 +1,8 @@
-/** Starts and stops servers of the runtime's own kind. */
+/** Starts and stops servers of `node:http`. */
 import type * as http from 'node:http';
 import type * as configuration from '@amaranthknot/configuration';
 
-/** Listens; rejects where the address can't be had. */
+/** Starts to listen; rejects if the address is not available. */
 export const listen = (
   server: http.Server,
   {host, port}: configuration.Address,
@@ -16,8 +16,8 @@
   });
 
 /**
- * Stops listening and closes what is idle; what is still in progress after
- * `timeoutMs` is cut.
+ * Stops listening and closes idle connections; resolves when all are closed.
+ * Connections still in use after `timeoutMs` are cut.
  */
 export const stopListening = async (
   server: http.Server,
@@ -28,9 +28,9 @@
       resolve();
     });
   });
-  const cutting = setTimeout(() => {
+  const cutTimer = setTimeout(() => {
     server.closeAllConnections();
   }, timeoutMs);
   await closed;
-  clearTimeout(cutting);
+  clearTimeout(cutTimer);
 };
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** Carries callers' requests to upstreams and their answers back. */
+/** Forwards callers' requests to upstreams and returns their answers. */
 export * from './accept-request.js';
 export * from './caller-answer.js';
 export * from './caller-request.js';
--- a/packages/gateway/src/raw-headers.ts
+++ b/packages/gateway/src/raw-headers.ts
@@ -1,12 +1,12 @@
 /**
- * Headers as a flat list of names and values, in the order and spelling of
- * the wire, as `node:http` gives and takes them.
+ * Headers as a flat list of names and values, in the order and spelling of the
+ * wire; the format of `rawHeaders` in `node:http`.
  */
 
 /** `[name, value, name, value, ...]`. */
 export type RawHeaders = readonly string[];
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers (RFC 9110, section 7.6.1). */
 const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -19,7 +19,7 @@
   'upgrade',
 ]);
 
-/** Value of the first header of that name, in lower case; undefined if none. */
+/** Value of the first header with that lower-case name; undefined if none. */
 export const findHeader = (
   headers: RawHeaders,
   lowerName: string,
@@ -39,8 +39,8 @@
 };
 
 /**
- * Headers without those that concern one connection only and without those
- * whose lower-case name is in `dropped`.
+ * The end-to-end headers, without those whose lower-case name is in `dropped`.
+ * Headers that `Connection` names are hop-by-hop too.
  */
 export const keepEndToEnd = (
   headers: RawHeaders,
--- a/packages/gateway/src/read-body.ts
+++ b/packages/gateway/src/read-body.ts
@@ -1,13 +1,13 @@
-/** Reads an upstream's body whole. */
+/** Reads an upstream's body to its end. */
 import type * as upstreamCall from './upstream-call.js';
 
 /**
- * Largest answer held in memory, in bytes. Answers of plain services are a few
- * kilobytes; held whole, a broken one can be asked for again.
+ * Largest buffered answer, in bytes. Answers of plain services have a few
+ * kilobytes; they are buffered so that a broken one can be requested again.
  */
 export const MAX_BUFFERED_BYTES = 8_388_608;
 
-/** The body, or undefined where it broke off or is too large. */
+/** Resolves to the body; undefined if it broke off or is too large. */
 export const readBody = ({
   body: message,
   isBroken,
--- a/packages/gateway/src/refusal.ts
+++ b/packages/gateway/src/refusal.ts
@@ -1,17 +1,17 @@
-/** Answers of the gateway's own: why a request gets no upstream's answer. */
+/** Refusals: answers that the gateway gives in place of an upstream's. */
 
 /**
- * Why the gateway answers itself.
+ * Why a request is refused.
  *
- * - `not_ready`: no configuration yet, or none confirmed lately enough.
- * - `unknown_route`, `unknown_key`: the configuration in force has none such.
+ * - `not_ready`: no configuration yet, or none confirmed recently enough.
+ * - `unknown_route`, `unknown_key`: not in the active configuration.
  * - `too_large`: the body is larger than the configuration allows.
- * - `malformed`: the request can't be read.
- * - `overloaded`: nothing is free in time.
+ * - `malformed`: the request cannot be parsed.
+ * - `overloaded`: no capacity becomes free in time.
  * - `no_upstream`: no upstream may take the request now.
- * - `stopping`: this instance stops and takes no more work.
- * - `failed`: an upstream may have run it, and no whole answer came.
- * - `timeout`: no final answer within the time that the request has.
+ * - `stopping`: this instance is stopping and accepts no more requests.
+ * - `failed`: an upstream may have run it, but no complete answer came.
+ * - `timeout`: no final answer before the deadline of the request.
  */
 export type RefusalReason =
   | 'not_ready'
@@ -25,16 +25,16 @@
   | 'failed'
   | 'timeout';
 
-/** An answer of the gateway's own. */
+/** A refusal of one request. */
 export interface Refusal {
   readonly reason: RefusalReason;
-  /** When to come back, in milliseconds; only where nothing has run. */
+  /** When to retry, in milliseconds; only if nothing has run. */
   readonly retryAfterMs?: number;
 }
 
 /**
- * Status of each reason. 503 says that the request has not run and never will,
- * so it is used only where that is certain; 502 and 504 say nothing.
+ * HTTP status of each reason. 503 states that the request has not run and never
+ * will, so it is used only where that is certain; 502 and 504 leave it open.
  */
 const STATUS: Readonly<Record<RefusalReason, number>> = {
   not_ready: 503,
@@ -51,14 +51,14 @@
 
 const MS_PER_S = 1_000;
 
-/** An answer of the gateway's own as it goes over the wire. */
+/** A refusal as it is sent. */
 export interface RefusalAnswer {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: Buffer;
 }
 
-/** Writes a refusal. */
+/** Formats a refusal as an HTTP answer. */
 export const formatRefusal = (refusal: Refusal): RefusalAnswer => {
   const {reason, retryAfterMs} = refusal;
   const body = Buffer.from(`${JSON.stringify({error: reason})}\n`);
--- a/packages/gateway/src/rollout-tracker.ts
+++ b/packages/gateway/src/rollout-tracker.ts
@@ -1,57 +1,57 @@
-/** Follows the roll-outs of all services and reports how they end. */
+/** Follows the rollouts of all services and reports how they end. */
 import type * as protocol from '@amaranthknot/protocol';
 import type * as routing from '@amaranthknot/routing';
 import * as followedRollout from './followed-rollout.js';
 import type * as evidenceTable from './evidence-table.js';
 import * as versionLatencies from './version-latencies.js';
 
-/** The pace of one stream. */
+/** The observed pace of one stream. */
 export interface PaceObservation extends versionLatencies.RequestClass {
-  /** Mean pause between its first events. */
+  /** Mean interval between its first events, in milliseconds. */
   readonly paceMs: number;
 }
 
-/** One finished try, as far as it tells something about its version. */
+/** The outcome of one attempt, as evidence on its version. */
 export interface VersionObservation extends versionLatencies.RequestClass {
   readonly isError: boolean;
-  /** Time to the first byte; undefined where none came. */
+  /** Time to the first byte, in milliseconds; undefined if none came. */
   readonly firstByteMs: number | undefined;
 }
 
-/** Parts that the tracker works with. */
+/** What the tracker needs. */
 export interface RolloutTrackerOptions
   extends followedRollout.FollowedRolloutOptions {
-  /** Writes how an order ended; resolves to whether it was written. */
+  /** Writes the end of a rollout; resolves to whether it was written. */
   readonly report: (
     rollout: routing.Rollout,
     state: routing.RolloutState,
   ) => Promise<boolean>;
-  /** Place of this instance in the order in which instances report. */
+  /** Position of this instance in the sequence of reporting instances. */
   readonly reportRank: () => number;
 }
 
-/** Time between two instances' tries to report an end, in milliseconds. */
+/** Interval between two instances' attempts to report an end, in ms. */
 const REPORT_STAGGER_MS = 300;
 
-/** An order, and how far the report of its end has come. */
+/** A rollout, with the state of the report of its end. */
 interface TrackedRollout {
   readonly followed: followedRollout.FollowedRollout;
-  /** When this instance may report the end; undefined while there is none. */
+  /** When this instance may report the end; undefined until it is due. */
   reportAtMs: number | undefined;
   isReporting: boolean;
 }
 
-/** The roll-outs of all services. */
+/** The rollouts of all services. */
 export class RolloutTracker {
   private readonly byService = new Map<string, TrackedRollout>();
-  /** Latencies of versions in use, learnt also while no order runs. */
+  /** Latencies of versions in use, also recorded while no rollout runs. */
   private readonly latencies = new versionLatencies.VersionLatencies(
     requestClass => this.isOnTrial(requestClass),
   );
 
   constructor(private readonly options: RolloutTrackerOptions) {}
 
-  /** Takes in the orders that the store holds. */
+  /** Applies a complete listing of the rollouts in the store. */
   applyRollouts(rollouts: readonly routing.Rollout[]): void {
     const services = new Set(rollouts.map(({service}) => service));
     for (const service of this.byService.keys()) {
@@ -81,7 +81,7 @@
     this.options.log.info('rollout_followed', details);
   }
 
-  /** Which version a request is to run on. */
+  /** Chooses the version for a request; `any` if the service has no rollout. */
   chooseVersion(
     service: string,
     sessionKey: string,
@@ -90,7 +90,7 @@
     return tracked?.followed.chooseVersion(sessionKey) ?? {kind: 'any'};
   }
 
-  /** Notes a finished try. */
+  /** Records the outcome of an attempt. */
   recordAttempt(observation: VersionObservation): void {
     const {firstByteMs} = observation;
     const isSlow =
@@ -104,11 +104,11 @@
   }
 
   /**
-   * Notes the pace of a stream.
+   * Records the pace of a stream.
    *
-   * Guards against a version whose first tokens are on time and whose streams
-   * then take five times as long: judged by first bytes alone it was reported
-   * as done, and nothing else was left to go back to.
+   * Guards against a version whose first tokens are on time but whose streams
+   * take five times as long: judged by first bytes alone it is reported as
+   * completed, and no old version is left to roll back to.
    */
   recordPace(observation: PaceObservation): void {
     const isDragging = this.latencies.isPaceSlow(
@@ -118,7 +118,7 @@
     this.count(observation, {paced: 1, dragging: isDragging ? 1 : 0});
   }
 
-  /** Whether the version is one that an order brings in now. */
+  /** Whether a running rollout introduces the version. */
   private isOnTrial({
     service,
     version,
@@ -142,10 +142,10 @@
   }
 
   /**
-   * What this instance tells of orders that run.
+   * What this instance reports on running rollouts.
    *
-   * @param known sessions of each order that the other has been told, which
-   *     are the first ones of this instance's list.
+   * @param known number of sessions of each rollout that the receiver already
+   *     has; they are the first ones of this instance's list.
    */
   progress(
     known: Readonly<Record<string, number>> = {},
@@ -155,24 +155,24 @@
     );
   }
 
-  /** Sessions that this instance knows of each order that runs. */
+  /** Number of pinned sessions known here, by name of the running rollout. */
   pinnedCounts(): Readonly<Record<string, number>> {
     return Object.fromEntries(
       this.running().map(({name, pinnedCount}) => [name, pinnedCount]),
     );
   }
 
-  /** Evidence on orders that run: all that is known, or this instance's own. */
+  /** Evidence on running rollouts: of all instances, or only of this one. */
   evidence(scope: 'all' | 'own' = 'all'): readonly protocol.OrderEvidence[] {
     return this.running().flatMap(followed => followed.evidenceRows(scope));
   }
 
-  /** Evidence on orders that run, added up over instances. */
+  /** Evidence on running rollouts, summed over instances. */
   evidenceSums(): readonly protocol.EvidenceSum[] {
     return this.running().flatMap(followed => followed.evidenceSums());
   }
 
-  /** Takes in what a peer told. */
+  /** Merges a peer's report. */
   merge(
     progress: readonly protocol.RolloutProgress[],
     evidence: readonly protocol.OrderEvidence[],
@@ -182,7 +182,7 @@
     });
   }
 
-  /** Takes in sums that a watcher made over all instances. */
+  /** Applies a watcher's sums over all instances. */
   applySums(
     progress: readonly protocol.RolloutProgress[],
     sums: readonly protocol.EvidenceSum[],
@@ -192,7 +192,7 @@
     });
   }
 
-  /** Reports ends that are due. */
+  /** Reports the ends that are due. */
   reportDueEnds(): void {
     for (const tracked of this.byService.values()) {
       const end = tracked.followed.isRunning
@@ -211,8 +211,8 @@
   }
 
   /**
-   * Instances report one after the other, and only while the order still
-   * runs: all at once they would cost the store a write each.
+   * Instances report one after the other, and only while the rollout still
+   * runs; all at once they would cost the store one write each.
    */
   private reportEnd(tracked: TrackedRollout, end: routing.RolloutState): void {
     const {reportRank, report, clock} = this.options;
--- a/packages/gateway/src/run-context.ts
+++ b/packages/gateway/src/run-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of the gateway get from each other. */
+/** Types that the modules of the gateway share: requests, attempts, runs. */
 import type * as purify from 'purify-ts';
 import type * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
@@ -10,20 +10,20 @@
 import type * as upstreamProbe from './upstream-probe.js';
 import type * as upstreamCall from './upstream-call.js';
 
-/** A request that may run: its route, its workspace, its last moment. */
+/** A request that may run, with its route, service, workspace and deadline. */
 export interface AcceptedRequest {
   readonly caller: callerRequest.CallerRequest;
   readonly route: routing.Route;
   readonly service: routing.Service;
   readonly workspace: routing.Workspace | undefined;
-  /** By then the final answer is due, by this instance's clock. */
+  /** Time by which the final answer is due, by this instance's clock. */
   readonly deadlineMs: number;
 }
 
 /**
- * Why a run or one of its tries ends before its answer: the reason of its
- * abort signal. `upstream_silent` and `upstream_lost` end a try that goes on
- * elsewhere; a lost upstream accepts no connection either.
+ * Why a run or one of its attempts is aborted before its answer. After
+ * `upstream_silent` and `upstream_lost` the run fails over to another upstream;
+ * a lost upstream, unlike a silent one, accepts no connection either.
  */
 export type AbortReason =
   | 'caller_left'
@@ -32,46 +32,47 @@
   | 'upstream_silent'
   | 'upstream_lost';
 
-/** How one try at an upstream ended, for placement. */
+/** How one attempt at an upstream ended, for placement. */
 export type AttemptOutcome = decisions.PickOutcome;
 
-/** A try at an upstream that was placed. */
+/** An attempt for which an upstream was chosen. */
 export interface PlacedAttempt {
   readonly upstream: routing.Upstream;
-  /** What the choice was made from, for the log. */
+  /** Inputs of the choice, for the log. */
   readonly inputs: telemetry.Details;
-  /** Called when the head of the answer has come. */
+  /** Call it when the head of the answer has arrived. */
   readonly recordHead: () => void;
-  /** Called when an event of the answer has come. */
+  /** Call it when an event of the answer has arrived. */
   readonly recordEvent: () => void;
-  /** Called once when the try has ended. */
+  /** Call it when the attempt has ended. */
   readonly settle: (outcome: AttemptOutcome) => void;
 }
 
-/** What to place. */
+/** An attempt that needs an upstream. */
 export interface PlacementRequest {
   readonly request: AcceptedRequest;
   readonly model: string | undefined;
-  /** Upstreams that have been tried in vain. */
+  /** Ids of upstreams that already failed for this request. */
   readonly excluded: ReadonlySet<string>;
   /** Whether the request has been sent to an upstream before. */
   readonly isRepeat: boolean;
 }
 
 /**
- * Why a try was not placed.
+ * Why an attempt was not placed.
  *
- * - `no_upstream`: none may take the request now.
- * - `no_budget`: it would be a repeat beyond the budget of all instances.
+ * - `no_upstream`: no upstream may take the request now.
+ * - `no_budget`: it would be a repeat, and the repeat budget that all instances
+ *   share is spent.
  */
 export type PlacementRefusal = 'no_upstream' | 'no_budget';
 
-/** Chooses an upstream. */
+/** Chooses an upstream for an attempt. */
 export type PlaceAttempt = (
   toPlace: PlacementRequest,
 ) => purify.Either<PlacementRefusal, PlacedAttempt>;
 
-/** Parts that runs of requests work with. */
+/** What runs of requests need. */
 export interface RunDependencies {
   readonly clock: ports.Clock;
   readonly headerConventions: headerNames.HeaderConventions;
@@ -82,14 +83,14 @@
   readonly escalation: escalationPolicy.EscalationPolicy;
 }
 
-/** One run: a request, its log, and what ends it early. */
+/** One run of a request, with its log and its abort signal. */
 export interface RunContext {
   readonly request: AcceptedRequest;
   readonly log: telemetry.RequestLog;
-  /** Aborts with a `RunEnd` when nobody waits any longer. */
+  /** Aborts, with an `AbortReason`, when no answer is awaited any longer. */
   readonly signal: AbortSignal;
 }
 
-/** Why a run's signal aborted. */
+/** The reason with which a signal of a run or an attempt was aborted. */
 export const abortReasonOf = (signal: AbortSignal): AbortReason =>
   signal.reason as AbortReason;
--- a/packages/gateway/src/send-attempt.ts
+++ b/packages/gateway/src/send-attempt.ts
@@ -1,24 +1,24 @@
-/** Sends a request to one placed upstream and takes its answer's head. */
+/** Sends a request to the chosen upstream and waits for the answer's head. */
 import type * as purify from 'purify-ts';
 import * as runContext from './run-context.js';
 import type * as upstreamCall from './upstream-call.js';
 import * as upstreamHeaders from './upstream-headers.js';
 
-/** One try. */
+/** One attempt to send. */
 export interface UpstreamAttempt {
   readonly placed: runContext.PlacedAttempt;
   readonly model: string | undefined;
-  /** Number of the last event that the caller has. */
+  /** Number of the last event that the caller already has. */
   readonly lastEventId: string | undefined;
   readonly connection: 'fresh' | 'kept';
   readonly connectTimeoutMs: number;
   /** Longest wait for the answer's head, in milliseconds. */
   readonly headTimeoutMs: number;
-  /** Ends this try alone. */
+  /** Aborts this attempt only. */
   readonly signal: AbortSignal;
 }
 
-/** What a failed call says of the upstream. */
+/** The outcome that a failed call means for placement. */
 const outcomeOf = (
   failure: upstreamCall.CallFailure,
   signal: AbortSignal,
@@ -44,7 +44,7 @@
   switch (end) {
     case 'time_up':
     case 'upstream_silent':
-      // An upstream that kept silent until the time was up has failed.
+      // An upstream that was silent until the timeout has failed.
       return 'failed';
     case 'upstream_lost':
       return 'unreachable';
@@ -54,7 +54,7 @@
   }
 };
 
-/** Sends a request; the placed try is settled if it fails. */
+/** Sends a request. A failed attempt is settled here, others by the caller. */
 export const sendAttempt = async (
   dependencies: runContext.RunDependencies,
   {request, log}: runContext.RunContext,
--- a/packages/gateway/src/stall-watchdog.ts
+++ b/packages/gateway/src/stall-watchdog.ts
@@ -1,32 +1,35 @@
-/** Watches a silent upstream: first asks whether it is there, then gives up. */
+/**
+ * Stall watchdog of a stream: probes a silent upstream first, and fails over
+ * when it is unreachable or has been silent for too long.
+ */
 
-/** A watch over one stream. */
+/** A running watchdog of one stream. */
 export interface StallWatchdog {
-  /** Bytes have come. */
+  /** Restarts the timers; call it when bytes arrive. */
   readonly reset: () => void;
   readonly stop: () => void;
 }
 
-/** What a watch does when, in milliseconds of silence. */
+/** Settings of a watchdog; times are in milliseconds of silence. */
 export interface StallWatchdogOptions {
   readonly probeAfterMs: number;
   readonly stallAfterMs: number;
   readonly isReachable: () => Promise<boolean>;
   /**
-   * Leaves the upstream, if the request can go on elsewhere, and says whether
-   * it did. Otherwise the watch goes on: an upstream that is only slow may
-   * still bring the whole answer.
+   * Fails over if the request can go on elsewhere, and returns whether it did.
+   * Otherwise the watchdog goes on: an upstream that is only slow may still
+   * complete the answer.
    */
   readonly failOver: () => boolean;
 }
 
-/** A watch that never ends anything. */
+/** A watchdog that does nothing. */
 export const NO_WATCHDOG: StallWatchdog = {
   reset: () => undefined,
   stop: () => undefined,
 };
 
-/** Begins a watch. */
+/** Starts a watchdog. */
 export const startStallWatchdog = (
   options: StallWatchdogOptions,
 ): StallWatchdog => {
@@ -35,8 +38,8 @@
   let isOver = false;
   const stop = () => {
     isOver = true;
-    clearTimeout(probing);
-    clearTimeout(stalling);
+    clearTimeout(probeTimer);
+    clearTimeout(stallTimer);
   };
   const tryFailOver = (timer: NodeJS.Timeout) => {
     if (isOver) {
@@ -50,22 +53,22 @@
   };
   const probe = async (): Promise<void> => {
     const resetsBefore = resets;
-    const isThere = await isReachable();
-    if (!isThere && resets === resetsBefore) {
-      tryFailOver(probing);
+    const stillReachable = await isReachable();
+    if (!stillReachable && resets === resetsBefore) {
+      tryFailOver(probeTimer);
     } else if (!isOver) {
-      probing.refresh();
+      probeTimer.refresh();
     }
   };
-  const probing = setTimeout(() => void probe(), probeAfterMs);
-  const stalling = setTimeout(() => {
-    tryFailOver(stalling);
+  const probeTimer = setTimeout(() => void probe(), probeAfterMs);
+  const stallTimer = setTimeout(() => {
+    tryFailOver(stallTimer);
   }, stallAfterMs);
   return {
     reset: () => {
       resets++;
-      probing.refresh();
-      stalling.refresh();
+      probeTimer.refresh();
+      stallTimer.refresh();
     },
     stop,
   };
--- a/packages/gateway/src/stream-opener.ts
+++ b/packages/gateway/src/stream-opener.ts
@@ -1,6 +1,6 @@
 /**
  * Opens the streams of one request: which upstreams are tried, when a silent
- * one is left for another, and how many runs the route allows.
+ * one is failed over, and how many runs the route allows.
  */
 import * as decisions from '@amaranthknot/decisions';
 import type * as routing from '@amaranthknot/routing';
@@ -10,21 +10,24 @@
 import * as stallWatchdog from './stall-watchdog.js';
 import * as sendAttempt from './send-attempt.js';
 
-/** As for plain requests; a prompt is worth a longer wait. */
+/**
+ * Connect timeout, in milliseconds. Longer than for buffered requests, because
+ * a prompt is worth a longer wait.
+ */
 const CONNECT_TIMEOUT_MS = 250;
 
-/** Sends of one request that may be refused without running. */
+/** Extra sends of one request for those that are refused without running. */
 const MAX_REFUSED_SENDS = 4;
 
-/** When to come back after a refusal for want of an upstream, in ms. */
+/** `Retry-After` when no upstream may take the request, in milliseconds. */
 const RETRY_AFTER_MS = 250;
 
-/** An answer whose head has come, and the try it belongs to. */
+/** An answer whose head has arrived, with its attempt. */
 export interface OpenStream extends eventRelay.RelayedStream {
   readonly model: string | undefined;
 }
 
-/** Whether a stream was opened, and not refused. */
+/** Whether a stream was opened rather than refused. */
 export const isOpenStream = (
   found: OpenStream | refusals.Refusal,
 ): found is OpenStream => 'answer' in found;
@@ -34,11 +37,12 @@
   private readonly excluded = new Set<string>();
   private runCount = 0;
   private sends = 0;
-  /** A try that was placed before the one in progress was left. */
+  /** An attempt placed before the one in progress is aborted for it. */
   private reserved: runContext.PlacedAttempt | undefined;
 
   /**
-   * @param findLastEventId number of the last event that the caller has.
+   * @param findLastEventId returns the number of the last event that the caller
+   *     has.
    */
   constructor(
     private readonly dependencies: runContext.RunDependencies,
@@ -46,7 +50,7 @@
     private readonly findLastEventId: () => string | undefined,
   ) {}
 
-  /** Runs so far; one that certainly did not run is none. */
+  /** Runs so far, without attempts that certainly did not run. */
   get runs(): number {
     return this.runCount;
   }
@@ -56,7 +60,7 @@
     return this.runCount >= this.context.request.route.maxAttempts;
   }
 
-  /** Tries upstreams until one begins a stream. */
+  /** Tries upstreams until one of them begins a stream. */
   async open(
     model: string | undefined,
   ): Promise<OpenStream | refusals.Refusal> {
@@ -79,7 +83,7 @@
     return this.explainFailure();
   }
 
-  /** Places a try ahead, before what is in progress is given up for it. */
+  /** Places an attempt before the one in progress is aborted for it. */
   reserve(
     model: string | undefined,
     excluded: ReadonlySet<string> = this.excluded,
@@ -88,14 +92,15 @@
     return this.reserved !== undefined;
   }
 
-  /** Gives up a try that was placed ahead and not used. */
+  /** Cancels an attempt that was reserved and not used. */
   release(): void {
     this.takeReserved()?.settle('cancelled');
   }
 
   /**
-   * Leaves an upstream that has been silent for so long that the caller would
-   * count the stream as late, or earlier where it can no longer be reached.
+   * Starts the watchdog of an open stream. It fails over once the upstream has
+   * been silent for so long that the caller would count the stream as late, or
+   * earlier if the upstream is unreachable.
    */
   watchForStall({
     placed,
@@ -136,12 +141,12 @@
   }
 
   /**
-   * Leaves a silent upstream for another one, if one takes the request.
+   * Fails over from a silent upstream, if another one can take the request.
    *
-   * Guards against answers lost to impatience: an engine that reads a long
-   * prompt of another request is silent to all its streams at once; left
-   * together, they want more repeats than there are, and those that get none
-   * end broken though their engine would have gone on.
+   * Guards against streams that break although their engine would have gone on:
+   * an engine that prefills a long prompt is silent on all its streams at once.
+   * If all fail over together, they need more repeats than the budget has, and
+   * those that get none break off.
    */
   private failOver(
     upstream: routing.Upstream,
@@ -192,7 +197,7 @@
       if (
         runContext.abortReasonOf(abortController.signal) === 'upstream_silent'
       ) {
-        // All may be slow: a wait that ended in vain is a wait as well.
+        // A wait that timed out counts too: all upstreams may be slow.
         this.recordWait(model, tookMs, true);
       }
       this.runCount -= ran === 'not_run' ? 1 : 0;
@@ -230,8 +235,8 @@
   }
 
   /**
-   * Leaves an upstream that is too slow with its first event, or that can no
-   * longer be reached. The last try that is allowed waits as long as its
+   * Starts the watchdog for the first event. It fails over when the upstream is
+   * too slow or unreachable. The last allowed attempt waits as long as the
    * caller does.
    */
   private watchForHead(
--- a/packages/gateway/src/stream-run.ts
+++ b/packages/gateway/src/stream-run.ts
@@ -1,4 +1,7 @@
-/** Runs a request whose answer is a stream of events. */
+/**
+ * Runs a request whose answer is a stream of events: escalates to the capable
+ * model if needed, and resumes a broken stream at another upstream.
+ */
 import type * as callerAnswer from './caller-answer.js';
 import * as eventRelay from './event-relay.js';
 import * as runContext from './run-context.js';
@@ -6,7 +9,7 @@
 import type * as refusals from './refusal.js';
 import * as streamOpener from './stream-opener.js';
 
-/** Headers that do not fit an answer that is passed on in chunks. */
+/** Headers that do not apply to an answer sent in chunks. */
 const DROPPED_HEADERS: ReadonlySet<string> = new Set(['content-length']);
 
 /** One request for a stream. */
@@ -27,8 +30,8 @@
   }
 
   /**
-   * Runs the request and passes the stream on. Returns a refusal where no
-   * stream was begun; otherwise the answer has been ended or broken off.
+   * Runs the request and relays the stream. Returns a refusal if no stream was
+   * begun; otherwise the answer has been ended or broken off.
    */
   async run(): Promise<refusals.Refusal | undefined> {
     try {
@@ -82,7 +85,7 @@
     }
   }
 
-  /** Runs the cheapest model, and the most capable where that is unsure. */
+  /** Runs the cheapest model, then the most capable one on an escalation. */
   private async openBest(): Promise<
     streamOpener.OpenStream | refusals.Refusal
   > {
@@ -100,13 +103,13 @@
     }
     const {confidence = 100} = open.answer;
     const {request} = this.context;
-    const judged = this.dependencies.escalation.decide(
+    const decision = this.dependencies.escalation.decide(
       request,
       capable,
       confidence,
     );
-    this.context.log.step('model_judged', {...judged, model: capable});
-    if (!judged.runs || !opener.reserve(capable)) {
+    this.context.log.step('model_judged', {...decision, model: capable});
+    if (!decision.runs || !opener.reserve(capable)) {
       return open;
     }
     open.abortController.abort('not_needed' satisfies runContext.AbortReason);
@@ -126,7 +129,7 @@
     this.answer.begin({status: answer.status, headers});
   }
 
-  /** Goes on with a broken stream at another upstream, with the same model. */
+  /** Resumes a broken stream at another upstream, with the same model. */
   private async resume(
     model: string | undefined,
   ): Promise<streamOpener.OpenStream | undefined> {
--- a/packages/gateway/src/upstream-call.ts
+++ b/packages/gateway/src/upstream-call.ts
@@ -1,9 +1,10 @@
 /**
- * One exchange with one upstream. Its outcome says whether the request can
- * have run, on which everything depends that is done next.
+ * One HTTP exchange with one upstream. Its outcome says whether the request may
+ * have run, which decides whether it may be sent again.
  *
- * Uses `node:http` itself and not wreck: targets go out byte for byte, and a
- * kept connection must show bytes that arrive after an answer's end.
+ * Uses `node:http` rather than wreck: request targets must go out byte for
+ * byte, and bytes that arrive on a kept connection after the end of an answer
+ * must be noticed.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
@@ -19,13 +20,14 @@
   readonly requestId: string;
   readonly method: string;
   readonly target: string;
-  /** Without those that concern one connection; `Host` included. */
+  /** Without hop-by-hop headers; `Host` included. */
   readonly headers: rawHeaders.RawHeaders;
   readonly body: Buffer;
   /**
-   * `fresh`: over a connection of its own. What may run at most once goes this
-   * way: on a kept connection another request's late answer may wait, or the
-   * upstream close it as we send, and the outcome would be unknown.
+   * `fresh` uses a connection of its own, for requests that may run at most
+   * once: on a kept connection a late answer to another request may be waiting,
+   * or the upstream may close it during the send, which leaves the outcome
+   * unknown.
    */
   readonly connection: 'fresh' | 'kept';
   /** Longest wait for a connection, in milliseconds. */
@@ -34,14 +36,14 @@
   readonly headTimeoutMs: number;
 }
 
-/** Load as an upstream tells it with an answer. */
+/** Load that an upstream reports in the headers of an answer. */
 export interface UpstreamLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** Why there is no answer. */
+/** Why a call gave no answer, and whether the request may have run. */
 export type CallFailure =
   | {
       readonly ran: 'not_run';
@@ -53,35 +55,34 @@
       readonly reason: 'broken' | 'foreign_answer' | 'silent' | 'cancelled';
     };
 
-/** An answer whose head has come. */
+/** An answer whose head has arrived. */
 export interface UpstreamAnswer {
   readonly status: number;
   readonly headers: rawHeaders.RawHeaders;
   readonly load?: UpstreamLoad;
-  /** 0 to 100. */
+  /** The model's confidence in its answer, 0 to 100. */
   readonly confidence?: number;
   readonly body: http.IncomingMessage;
   /**
-   * Whether the connection broke. An answer without a length ends with its
-   * connection, and one that was reset looks as complete as one that was
-   * closed.
+   * Whether the connection broke. An answer without a length ends when its
+   * connection ends, so a reset makes it look as complete as a close does.
    */
   readonly isBroken: () => boolean;
 }
 
-/** Opens exchanges. */
+/** Sends a request; resolves when the answer's head has arrived. */
 export type OpenCall = (
   request: UpstreamRequest,
   signal: AbortSignal,
 ) => Promise<purify.Either<CallFailure, UpstreamAnswer>>;
 
-/** Takes in the limit that an upstream's answer names; undefined: none. */
+/** Records the rate limit that an answer names; undefined if it names none. */
 export type RecordLimit = (
   upstreamId: string,
   perSecond: number | undefined,
 ) => void;
 
-/** Statuses by which an upstream may say that a request has not run. */
+/** Status by which another upstream than the expected one refuses to run. */
 const MISDIRECTED = 421;
 
 const parseLoad = (text: string | undefined): UpstreamLoad | undefined => {
@@ -96,19 +97,19 @@
   return text === undefined || !Number.isFinite(value) ? undefined : value;
 };
 
-/** A limit that can't be read, or is below nothing, is none. */
+/** A limit that is malformed or negative counts as none. */
 const parseRate = (text: string | undefined): number | undefined => {
   const rate = parseNumber(text);
   return rate === undefined || rate < 0 ? undefined : rate;
 };
 
-/** Creates the function that opens exchanges. */
+/** Creates the function that calls upstreams. */
 export const createOpenCall = (
   pool: connectionPool.ConnectionPool,
   names: headerNames.HeaderNames,
   recordLimit: RecordLimit,
 ): OpenCall => {
-  const lower = {
+  const lowerNames = {
     requestId: names.requestId.toLowerCase(),
     notRun: names.notRun.toLowerCase(),
     load: names.load.toLowerCase(),
@@ -123,28 +124,33 @@
   ): purify.Either<CallFailure, UpstreamAnswer> => {
     const headers = response.rawHeaders;
     const status = response.statusCode ?? 0;
-    const load = parseLoad(rawHeaders.findHeader(headers, lower.load));
-    // A late or doubled answer to an earlier request on this connection bears
-    // that request's identity. Handed on, a caller would get another's answer.
-    if (rawHeaders.findHeader(headers, lower.requestId) !== request.requestId) {
+    const load = parseLoad(rawHeaders.findHeader(headers, lowerNames.load));
+    // A late or duplicate answer to an earlier request on this connection has
+    // that request's id. Passed on, it would give a caller another's answer.
+    if (
+      rawHeaders.findHeader(headers, lowerNames.requestId) !== request.requestId
+    ) {
       response.destroy();
       return purify.Left({ran: 'unknown', reason: 'foreign_answer'});
     }
-    const isOther = status === MISDIRECTED;
-    if (!isOther) {
-      const limit = rawHeaders.findHeader(headers, lower.rateLimit);
+    const isMisdirected = status === MISDIRECTED;
+    if (!isMisdirected) {
+      const limit = rawHeaders.findHeader(headers, lowerNames.rateLimit);
       recordLimit(request.upstream.id, parseRate(limit));
     }
-    if (isOther || rawHeaders.findHeader(headers, lower.notRun) !== undefined) {
+    if (
+      isMisdirected ||
+      rawHeaders.findHeader(headers, lowerNames.notRun) !== undefined
+    ) {
       response.resume();
       return purify.Left({
         ran: 'not_run',
-        reason: isOther ? 'other_upstream' : 'refused',
+        reason: isMisdirected ? 'other_upstream' : 'refused',
         ...(load ? {load} : {}),
       });
     }
     const confidence = parseNumber(
-      rawHeaders.findHeader(headers, lower.confidence),
+      rawHeaders.findHeader(headers, lowerNames.confidence),
     );
     return purify.Right({
       status,
@@ -176,26 +182,26 @@
       const cancel = () => sending.destroy();
       signal.addEventListener('abort', cancel);
       let isSilent = false;
-      const silence = setTimeout(() => {
+      const headTimer = setTimeout(() => {
         isSilent = true;
         sending.destroy();
       }, request.headTimeoutMs);
       let hasFailed = false;
       const fail = () => {
-        clearTimeout(silence);
+        clearTimeout(headTimer);
         resolve(purify.Left(tracker.describe(isSilent, signal)));
       };
       sending.once('response', response => {
-        clearTimeout(silence);
+        clearTimeout(headTimer);
         response.once('close', () => {
           signal.removeEventListener('abort', cancel);
         });
-        // Until its reader listens, a broken body must not end the process.
+        // A body that breaks before it is read must not end the process.
         response.on('error', () => undefined);
         const wasReset = watchForReset(response);
         resolve(classify(request, response, () => hasFailed || wasReset()));
       });
-      // Errors after the head are the body's, and its reader sees them.
+      // An error after the head concerns the body, whose reader handles it.
       sending.on('error', () => {
         hasFailed = true;
         signal.removeEventListener('abort', cancel);
@@ -207,13 +213,13 @@
 };
 
 /**
- * Tells a connection that was reset from one that was closed.
+ * Distinguishes a connection that was reset from one that was closed.
  *
- * Guards against a reset that arrives with an answer's last bytes: the event
- * loop reports both as bytes and a clean end, and an answer without a length
- * then looks whole. A connection that was reset no longer has a peer, one
- * that the peer closed still has. The address is kept once it was read, so it
- * must not be asked for earlier.
+ * Guards against a reset that arrives with the last bytes of an answer: the
+ * event loop reports a reset and a close alike, as bytes and a clean end, so an
+ * answer without a length looks complete. After a reset the socket has no
+ * remote address, after a close it still has. The socket caches the address, so
+ * it must not be read earlier.
  */
 const watchForReset = ({
   headers,
@@ -232,7 +238,7 @@
   return () => wasReset;
 };
 
-/** Follows whether a connection was ever there, so that bytes can have left. */
+/** Tracks whether a connection was established, so that bytes may have left. */
 const trackConnection = (
   sending: http.ClientRequest,
   connectTimeoutMs: number,
--- a/packages/gateway/src/upstream-catalog.ts
+++ b/packages/gateway/src/upstream-catalog.ts
@@ -1,20 +1,24 @@
 /**
- * Which upstreams there are, as the store tells it. Pure: time is an argument.
+ * Tracks the registered upstreams from their entries in the store. Pure: time
+ * is an argument.
+ *
+ * Guards against an empty catalog after an outage of the store, during which
+ * the entries of live upstreams lapse.
  */
 import type * as ports from '@amaranthknot/ports';
 import type * as routing from '@amaranthknot/routing';
 
-/** Reads an upstream's entry; undefined where it names none to use. */
+/** Decodes an upstream's entry; undefined if it describes no usable one. */
 export type DecodeUpstream = (
   object: ports.StoredObject,
 ) => routing.Upstream | undefined;
 
-/** An upstream with what is known of it beyond its entry. */
+/** An upstream, with times that this instance derives from its entries. */
 export interface KnownUpstream {
   readonly upstream: routing.Upstream;
-  /** Until then it is cold and bears little, by this instance's clock. */
+  /** End of its cold start, in which it takes few requests; by our clock. */
   readonly coldUntilMs: number;
-  /** Since when it is known here. */
+  /** When this instance first saw this start of it, by our clock. */
   readonly knownSinceMs: number;
 }
 
@@ -22,13 +26,13 @@
 export type CatalogChangeKind =
   | 'added'
   | 'changed'
-  /** It says that it is leaving. */
+  /** It announced that it is leaving. */
   | 'leaving'
-  /** Its entry is missing, and it is kept for now. */
+  /** Its entry is missing, but it stays in use for the grace period. */
   | 'kept'
   | 'gone';
 
-/** A change for one upstream. */
+/** A change of one upstream. */
 export interface CatalogChange {
   readonly kind: CatalogChangeKind;
   readonly known: KnownUpstream;
@@ -36,13 +40,13 @@
 
 /** Settings of a catalog. */
 export interface UpstreamCatalogOptions {
-  /** Called once for all changes that came together. */
+  /** Called once with all changes of one update. */
   readonly onChanges: (changes: readonly CatalogChange[]) => void;
   readonly decode: DecodeUpstream;
   /**
-   * How long an upstream whose entry vanished around an outage of the store
-   * stays in use, in milliseconds. Entries lapse while the store is away, and
-   * live upstreams are back within that time; without it an outage of seconds
+   * How long an upstream stays in use after its entry vanished around an outage
+   * of the store, in milliseconds. Entries lapse during an outage, and live
+   * upstreams register again within this time; without it an outage of seconds
    * empties the catalog.
    */
   readonly lapseGraceMs: number;
@@ -50,25 +54,25 @@
 
 interface Row {
   known: KnownUpstream;
-  /** Store version of the entry it was read from. */
+  /** Store version of the decoded entry. */
   version: number;
   /** Set while its entry is missing. */
   lapsedAtMs?: number;
 }
 
-/** All upstreams by id. */
+/** The upstreams by id. */
 export class UpstreamCatalog {
   private readonly rows = new Map<string, Row>();
-  /** Changes that were not told yet. */
+  /** Changes that `onChanges` has not been called with yet. */
   private changes: CatalogChange[] = [];
 
   constructor(private readonly options: UpstreamCatalogOptions) {}
 
   /**
-   * Takes in all entries.
+   * Applies a complete listing of the entries.
    *
-   * @param isStoreStable whether the store has answered all the while: then a
-   *     missing entry means that the upstream is gone.
+   * @param isStoreStable whether the store has answered without interruption;
+   *     a missing entry then means that the upstream is gone.
    */
   update(
     objects: ReadonlyMap<string, ports.StoredObject>,
@@ -90,7 +94,7 @@
     this.expire(nowMs, isStoreStable);
   }
 
-  /** Drops what is missing, and what has been missing for too long. */
+  /** Drops upstreams without an entry; those in their grace period stay. */
   expire(nowMs: number, isStoreStable: boolean): void {
     for (const [id, {lapsedAtMs}] of this.rows) {
       const isMissing = lapsedAtMs !== undefined;
@@ -101,12 +105,12 @@
     this.notifyChanges();
   }
 
-  /** All upstreams that are there, leaving ones included. */
+  /** All known upstreams, including leaving ones. */
   all(): readonly KnownUpstream[] {
     return [...this.rows.values()].map(row => row.known);
   }
 
-  /** One upstream. */
+  /** The upstream with this id; undefined if it is not known. */
   find(id: string): KnownUpstream | undefined {
     return this.rows.get(id)?.known;
   }
--- a/packages/gateway/src/upstream-headers.ts
+++ b/packages/gateway/src/upstream-headers.ts
@@ -1,20 +1,20 @@
-/** Headers of the request that goes to an upstream. */
+/** Builds the headers of a request to an upstream. */
 import * as decisions from '@amaranthknot/decisions';
 import type * as runContext from './run-context.js';
 import type * as headerNames from './header-names.js';
 import * as rawHeaders from './raw-headers.js';
 
-/** What this instance sets for one try. */
+/** Values that this instance sets for one attempt. */
 export interface AttemptHeaders {
   readonly upstreamId: string;
   readonly timeLeftMs: number;
   readonly model: string | undefined;
-  /** Number of the last event that the caller has. */
+  /** Number of the last event that the caller already has. */
   readonly lastEventId: string | undefined;
 }
 
-/** Lower-case names of headers that are never handed on as they came. */
-const findReplaced = (
+/** Lower-case names of caller headers that are dropped or set anew. */
+const findReplacedNames = (
   headerConventions: headerNames.HeaderConventions,
 ): ReadonlySet<string> => {
   const {headers, instanceOnlyHeaders} = headerConventions;
@@ -30,21 +30,22 @@
   return new Set(names.map(name => name.toLowerCase()));
 };
 
-const replacedBy = new WeakMap<
+const replacedNames = new WeakMap<
   headerNames.HeaderConventions,
   ReadonlySet<string>
 >();
 
-const replacedOf = (
+const replacedNamesOf = (
   headerConventions: headerNames.HeaderConventions,
 ): ReadonlySet<string> => {
   const known =
-    replacedBy.get(headerConventions) ?? findReplaced(headerConventions);
-  replacedBy.set(headerConventions, known);
+    replacedNames.get(headerConventions) ??
+    findReplacedNames(headerConventions);
+  replacedNames.set(headerConventions, known);
   return known;
 };
 
-/** Puts together the headers of one try. */
+/** The headers of one attempt: the caller's end-to-end ones and our own. */
 export const createUpstreamHeaders = (
   request: runContext.AcceptedRequest,
   attempt: AttemptHeaders,
@@ -54,18 +55,20 @@
   const {headers: names} = headerConventions;
   const headers = rawHeaders.keepEndToEnd(
     caller.headers,
-    replacedOf(headerConventions),
+    replacedNamesOf(headerConventions),
   );
   headers.push(names.expectedUpstream, attempt.upstreamId);
   headers.push(names.timeLeft, String(Math.floor(attempt.timeLeftMs)));
   if (caller.generation) {
-    const rank = decisions.findPrefillPriority(caller.generation.promptTokens);
-    headers.push(names.priority, String(rank));
+    const priority = decisions.findPrefillPriority(
+      caller.generation.promptTokens,
+    );
+    headers.push(names.priority, String(priority));
   }
   if (workspace) {
     headers.push(names.workspace, workspace.name);
   }
-  const model = attempt.model ?? findOwn(caller.headers, names.model);
+  const model = attempt.model ?? findHeader(caller.headers, names.model);
   if (model !== undefined) {
     headers.push(names.model, model);
   }
@@ -78,7 +81,7 @@
   return headers;
 };
 
-const findOwn = (
+const findHeader = (
   headers: rawHeaders.RawHeaders,
   name: string,
 ): string | undefined => rawHeaders.findHeader(headers, name.toLowerCase());
--- a/packages/gateway/src/upstream-placement.ts
+++ b/packages/gateway/src/upstream-placement.ts
@@ -1,4 +1,7 @@
-/** Places tries of requests on upstreams. */
+/**
+ * Places attempts of requests on upstreams: which ones may take a request, by
+ * state, zone, region, rate limit, cold start and rollout, and which is chosen.
+ */
 import * as decisions from '@amaranthknot/decisions';
 import type * as routing from '@amaranthknot/routing';
 import * as purify from 'purify-ts';
@@ -9,7 +12,7 @@
 import type * as rolloutTracker from './rollout-tracker.js';
 import type * as upstreamCatalog from './upstream-catalog.js';
 
-/** Parts that placement works with. */
+/** What placement needs. */
 export interface UpstreamPlacementOptions {
   readonly catalog: upstreamCatalog.UpstreamCatalog;
   readonly picker: decisions.UpstreamPicker;
@@ -17,9 +20,9 @@
   readonly limits: decisions.RateLimits;
   readonly rollouts: rolloutTracker.RolloutTracker;
   readonly now: () => number;
-  /** Time since the upstreams were known to be complete, in milliseconds. */
+  /** Time since the list of upstreams was known to be complete, in ms. */
   readonly upstreamsAgeMs: () => number | undefined;
-  /** Whether operators have taken a zone out. */
+  /** Whether operators have taken a zone out of use. */
   readonly isZoneOut: (zone: string) => boolean;
   readonly regionOf: (zone: string) => string | undefined;
   /** Requests a second that this instance may send to a cold upstream. */
@@ -30,40 +33,41 @@
 }
 
 /**
- * Window over which requests to a cold upstream are counted, in ms. A little
- * over a second: requests that were sent apart may arrive together.
+ * Window over which requests to a cold upstream are counted, in milliseconds.
+ * Slightly over a second, because requests that were sent further apart may
+ * arrive together.
  */
 const COLD_WINDOW_MS = 1_100;
 
 type Known = upstreamCatalog.KnownUpstream;
 
-/** Places tries for one instance. */
+/** Places the attempts of one instance. */
 export class UpstreamPlacement {
   private readonly coldSends = new Map<string, decisions.SlidingCount>();
 
   constructor(private readonly options: UpstreamPlacementOptions) {}
 
   /**
-   * Places a try, unless no upstream may take it, or it would be a repeat that
-   * the budget of all instances does not allow.
+   * Places an attempt, unless no upstream may take it, or it would be a repeat
+   * and the repeat budget that all instances share is spent.
    */
   place(
     toPlace: runContext.PlacementRequest,
   ): purify.Either<runContext.PlacementRefusal, runContext.PlacedAttempt> {
     const {picker} = this.options;
-    const work = describeWork(toPlace);
+    const pickRequest = createPickRequest(toPlace);
     const candidates = this.findCandidates(toPlace);
-    const picked = picker.pick(candidates, work);
+    const picked = picker.pick(candidates, pickRequest);
     const known = picked && this.options.catalog.find(picked.id);
     if (!known) {
       return purify.Left('no_upstream');
     }
-    if (!this.payForRepeat(toPlace)) {
+    if (!this.takeRepeat(toPlace)) {
       return purify.Left('no_budget');
     }
-    const tried = this.beginAttempt(known, toPlace, work);
+    const attempt = this.beginAttempt(known, toPlace, pickRequest);
     const inputs = this.describeChoice(known, candidates.length, toPlace);
-    return purify.Right({...tried, inputs});
+    return purify.Right({...attempt, inputs});
   }
 
   private describeChoice(
@@ -83,7 +87,7 @@
     };
   }
 
-  private payForRepeat({request, isRepeat}: runContext.PlacementRequest) {
+  private takeRepeat({request, isRepeat}: runContext.PlacementRequest) {
     const {repeats} = this.options;
     const {name} = request.service;
     if (isRepeat) {
@@ -98,7 +102,7 @@
   ): readonly routing.Upstream[] {
     const usable = this.options.catalog
       .all()
-      .filter(known => this.mayTake(known, toPlace));
+      .filter(known => this.isCandidate(known, toPlace));
     const {caller, service} = toPlace.request;
     const version = this.options.rollouts.chooseVersion(
       service.name,
@@ -108,20 +112,20 @@
       return usable.map(({upstream}) => upstream);
     }
     const {accepts, fallback, subset} = version;
-    const wanted = usable
+    const accepted = usable
       .map(({upstream}) => upstream)
       .filter(upstream => accepts(upstream.version));
-    if (wanted.length > 0 && subset) {
-      return selectSubset(wanted, subset);
+    if (accepted.length > 0 && subset) {
+      return selectSubset(accepted, subset);
     }
-    return wanted.length > 0 || !fallback
-      ? wanted
+    return accepted.length > 0 || !fallback
+      ? accepted
       : usable
           .map(({upstream}) => upstream)
           .filter(upstream => fallback(upstream.version));
   }
 
-  private mayTake(
+  private isCandidate(
     {upstream, coldUntilMs}: Known,
     {request, excluded}: runContext.PlacementRequest,
   ): boolean {
@@ -141,8 +145,8 @@
     upstream: routing.Upstream,
     {route, workspace}: runContext.AcceptedRequest,
   ): boolean {
-    const homes = [route.allowedRegions, workspace?.allowedRegions ?? []];
-    return homes.every(
+    const regionLists = [route.allowedRegions, workspace?.allowedRegions ?? []];
+    return regionLists.every(
       regions =>
         regions.length === 0 ||
         regions.includes(this.options.regionOf(upstream.zone) ?? ''),
@@ -165,14 +169,14 @@
   private beginAttempt(
     known: Known,
     toPlace: runContext.PlacementRequest,
-    pickWork: decisions.PickRequest,
+    pickRequest: decisions.PickRequest,
   ): Omit<runContext.PlacedAttempt, 'inputs'> {
     const {upstream} = known;
     const {rollouts} = this.options;
     const startedAtMs = this.options.now();
     this.recordColdSend(known, startedAtMs);
     this.options.limits.recordSend(upstream.id);
-    const ticket = this.options.picker.start(upstream.id, pickWork);
+    const ticket = this.options.picker.start(upstream.id, pickRequest);
     const requestClass = {
       service: toPlace.request.service.name,
       version: upstream.version,
@@ -181,7 +185,7 @@
       model: toPlace.model,
     };
     const pace = new decisions.StreamPace();
-    const notePace = (paceMs: number | undefined) => {
+    const recordPace = (paceMs: number | undefined) => {
       if (paceMs !== undefined) {
         rollouts.recordPace({...requestClass, paceMs});
       }
@@ -191,7 +195,7 @@
     return {
       upstream,
       recordEvent: () => {
-        notePace(pace.record(this.options.now()));
+        recordPace(pace.record(this.options.now()));
       },
       recordHead: () => {
         firstByteMs ??= this.options.now() - startedAtMs;
@@ -200,7 +204,7 @@
       settle: outcome => {
         ticket.end(outcome);
         if (isOpen && (outcome === 'answered' || outcome === 'failed')) {
-          notePace(pace.take());
+          recordPace(pace.take());
           rollouts.recordAttempt({
             ...requestClass,
             isError: outcome === 'failed',
@@ -235,18 +239,18 @@
   return upstreams.filter(({id}) => first.includes(id));
 };
 
-/** Part of the dearest model's price, as the weight of a prompt's tokens. */
+/** Weight of a model's tokens: its price over that of the dearest model. */
 const promptWeightOf = (
   model: string | undefined,
   engine: routing.Engine | undefined,
 ): number => {
   const prices = engine?.models.map(({cost}) => cost) ?? [];
-  const own = engine?.models.find(({name}) => name === model)?.cost;
-  const dearest = Math.max(...prices, 0);
-  return own === undefined || dearest === 0 ? 1 : own / dearest;
+  const price = engine?.models.find(({name}) => name === model)?.cost;
+  const maxPrice = Math.max(...prices, 0);
+  return price === undefined || maxPrice === 0 ? 1 : price / maxPrice;
 };
 
-const describeWork = (
+const createPickRequest = (
   toPlace: runContext.PlacementRequest,
 ): decisions.PickRequest => {
   const {caller, service} = toPlace.request;
@@ -260,20 +264,20 @@
     };
   }
   const weight = promptWeightOf(toPlace.model, service.engine);
-  // The last part belongs to the request or its session.
-  const shared = generation.parts.slice(0, -1);
-  const sharedTokens = shared.reduce((sum, {tokens}) => sum + tokens, 0);
-  const sharedKey =
-    shared.length === 0
+  // The last part is specific to the request or its session.
+  const prefixParts = generation.parts.slice(0, -1);
+  const prefixTokens = prefixParts.reduce((sum, {tokens}) => sum + tokens, 0);
+  const prefixKey =
+    prefixParts.length === 0
       ? undefined
-      : `${toPlace.model ?? ''}/${shared.map(({id}) => id).join('/')}`;
+      : `${toPlace.model ?? ''}/${prefixParts.map(({id}) => id).join('/')}`;
   const {models} = toPlace.request.route;
   const isCapable = toPlace.model === models.at(-1);
   return {
     promptTokens: generation.promptTokens * weight,
     answerTokens: callerRequest.estimateAnswerTokens(generation) * weight,
-    prefixTokens: sharedTokens * weight,
-    prefixKey: sharedKey,
+    prefixTokens: prefixTokens * weight,
+    prefixKey,
     ...(models.length < 2 ? {} : {tier: isCapable ? 'capable' : 'cheap'}),
   };
 };
--- a/packages/gateway/src/upstream-probe.ts
+++ b/packages/gateway/src/upstream-probe.ts
@@ -1,18 +1,18 @@
-/** Finds out whether an upstream can still be reached. */
+/** Checks whether an upstream can still be reached. */
 import * as net from 'node:net';
 import type * as ports from '@amaranthknot/ports';
 import type * as routing from '@amaranthknot/routing';
 
-/** Tells whether an upstream accepts a connection now. */
+/** Resolves to whether an upstream accepts a connection now. */
 export type ProbeUpstream = (upstream: routing.Upstream) => Promise<boolean>;
 
 /**
- * Longest wait for a connection, in milliseconds: many round trips between
- * zones, and a lost packet is not sent again within it.
+ * Connect timeout, in milliseconds: many round trips between zones, but too
+ * short for the retransmission of a lost packet.
  */
 const CONNECT_TIMEOUT_MS = 150;
 
-/** Time for which an answer holds, in milliseconds, for all who ask. */
+/** How long a result is reused for the same upstream, in milliseconds. */
 const RESULT_TTL_MS = 300;
 
 interface CachedProbe {
@@ -40,9 +40,9 @@
   });
 
 /**
- * Creates a probe. An engine that is busy with a long prompt is silent for as
- * long as one that has lost its power, but it still accepts a connection. Of
- * all streams that ask about one upstream, one connects.
+ * Creates a probe. It distinguishes an engine that is busy with a long prompt
+ * from one that lost power: both are silent, but the busy one still accepts
+ * connections. Of all streams that probe one upstream, only one connects.
  */
 export const createProbe = (clock: ports.Clock): ProbeUpstream => {
   const probes = new Map<string, CachedProbe>();
--- a/packages/gateway/src/version-latencies.ts
+++ b/packages/gateway/src/version-latencies.ts
@@ -1,51 +1,51 @@
-/** Whether answers of a version are far slower than is usual. */
+/** Detects answers of a version that are far slower than typical ones. */
 import * as decisions from '@amaranthknot/decisions';
 
-/** What ran: answers of the same service, route and model are alike. */
+/** Kind of a request; latencies compare by service, route and model. */
 export interface RequestClass {
   readonly service: string;
   readonly version: string;
   readonly route: string;
   readonly isStream: boolean;
-  /** The model that ran; undefined where there is no choice of one. */
+  /** The model that ran; undefined if the route does not choose one. */
   readonly model: string | undefined;
 }
 
 /**
- * A stream's pace, and the first byte of a plain answer, count as slow at this
- * many times the median of the old version's answers of the same route and
- * model. On a day of high load one stream in nine took over three times the
- * median, and of a new version's, whose caches fill, three in ten; a bad
- * version's streams took four to fifteen times.
+ * Multiple of the median, over the old version's answers of the same route and
+ * model, above which the pace of a stream or the first byte of a buffered
+ * answer counts as slow. Under high load one stream in nine took over three
+ * times the median, and three in ten of a new version while its caches filled;
+ * the streams of a bad version took four to fifteen times the median.
  */
 const SLOW_FACTOR = 4;
 
 /**
  * The same for the first byte of a stream. The first prompts of a new version
- * find nothing kept at its upstreams and wait for each other: four of its five
- * first answers took over three times the median, and a good version was
- * rolled back. A slow one shows by its pace as well.
+ * find empty caches and wait for each other: four of the first five answers
+ * took over three times the median, and a good version was rolled back. A slow
+ * version is still detected by its pace.
  */
 const SLOW_STREAM_FACTOR = 8;
 
-/** Names work whose latencies are about the same. */
+/** Key of requests whose latencies are comparable. */
 const classKeyOf = ({service, route, model}: RequestClass): string =>
   `${service}/${route}/${model ?? ''}`;
 
-/** Latencies that one instance saw, by kind of work. */
+/** Latencies that this instance observed, by kind of request. */
 export class VersionLatencies {
   private readonly firstBytes = new decisions.MedianLatencies();
   private readonly paces = new decisions.MedianLatencies();
 
-  /** @param isOnTrial whether a version is one that an order brings in now. */
+  /** @param isOnTrial whether a running rollout introduces the version. */
   constructor(
     private readonly isOnTrial: (requestClass: RequestClass) => boolean,
   ) {}
 
-  /** Whether a first byte came late; learns what is usual. */
+  /** Whether a first byte was slow; records it for the typical latency. */
   isFirstByteSlow(requestClass: RequestClass, firstByteMs: number): boolean {
     const factor = requestClass.isStream ? SLOW_STREAM_FACTOR : SLOW_FACTOR;
-    return this.exceedsUsual(
+    return this.exceedsTypical(
       this.firstBytes,
       requestClass,
       firstByteMs,
@@ -53,23 +53,23 @@
     );
   }
 
-  /** Whether a stream's events come slowly; learns what is usual. */
+  /** Whether a stream's pace was slow; records it for the typical pace. */
   isPaceSlow(requestClass: RequestClass, paceMs: number): boolean {
-    return this.exceedsUsual(this.paces, requestClass, paceMs, SLOW_FACTOR);
+    return this.exceedsTypical(this.paces, requestClass, paceMs, SLOW_FACTOR);
   }
 
-  /** What a version on trial takes is not usual, however often it is seen. */
-  private exceedsUsual(
-    usual: decisions.MedianLatencies,
+  /** A version on trial is compared but not recorded: it is not typical. */
+  private exceedsTypical(
+    medians: decisions.MedianLatencies,
     requestClass: RequestClass,
     latencyMs: number,
     factor: number,
   ): boolean {
     const name = classKeyOf(requestClass);
-    const usualMs = usual.medianMs(name);
+    const medianMs = medians.medianMs(name);
     if (!this.isOnTrial(requestClass)) {
-      usual.record(name, latencyMs);
+      medians.record(name, latencyMs);
     }
-    return usualMs !== undefined && latencyMs > factor * usualMs;
+    return medianMs !== undefined && latencyMs > factor * medianMs;
   }
 }
--- a/packages/gateway/tests/auxiliary-server.test.ts
+++ b/packages/gateway/tests/auxiliary-server.test.ts
@@ -17,20 +17,20 @@
   return port;
 };
 
-interface Sent {
+interface SentRequest {
   readonly path?: string;
   readonly method?: string;
   readonly headers?: http.OutgoingHttpHeaders;
   readonly body?: Buffer;
 }
 
-interface Got {
+interface ReceivedAnswer {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: Buffer;
 }
 
-const send = (port: number, sent: Sent): Promise<Got> =>
+const send = (port: number, sent: SentRequest): Promise<ReceivedAnswer> =>
   new Promise((resolve, reject) => {
     const request = http.request({
       host: HOST,
@@ -54,9 +54,9 @@
     request.end(sent.body);
   });
 
-/** Runs `play` before a peer server that answers each message twice over. */
+/** Runs `test` with a peer server that answers each message with it doubled. */
 const withPeerServer = async (
-  play: (port: number) => Promise<void>,
+  test: (port: number) => Promise<void>,
 ): Promise<void> => {
   const port = await findFreePort();
   const server = gateway.createPeerServer({host: HOST, port}, PATH, text =>
@@ -64,21 +64,21 @@
   );
   await server.start();
   try {
-    await play(port);
+    await test(port);
   } finally {
     await server.stop();
   }
 };
 
-describe('servers beside the callers', () => {
-  it('take a message of a peer as it is', () =>
+describe('auxiliary servers', () => {
+  it('pass the text of a peer message to the handler', () =>
     withPeerServer(async port => {
       const {status, body} = await send(port, {body: Buffer.from('abc')});
       chai.expect(status).equal(200);
       chai.expect(String(body)).equal('abcabc');
     }));
 
-  it('take and give long messages packed', () =>
+  it('decompress requests and compress long answers', () =>
     withPeerServer(async port => {
       const text = 'name '.repeat(1_000);
       const {headers, body} = await send(port, {
@@ -89,26 +89,26 @@
       chai.expect(String(zlib.gunzipSync(body))).equal(text + text);
     }));
 
-  const refused: readonly (Sent & {
+  const refused: readonly (SentRequest & {
     readonly name: string;
     readonly status: number;
   })[] = [
     {name: 'another path', path: '/other', status: 404},
     {name: 'another method', method: 'PUT', status: 404},
     {
-      name: 'bytes that can not be unpacked',
+      name: 'a body that is not valid gzip',
       headers: {'content-encoding': 'gzip'},
       body: Buffer.from('no gzip'),
       status: 400,
     },
     {
-      name: 'a message that unpacks to more than it may',
+      name: 'a message that decompresses to more than the limit',
       headers: {'content-encoding': 'gzip'},
       body: zlib.gzipSync(Buffer.alloc(5 * 1024 * 1024)),
       status: 400,
     },
     {
-      name: 'a message that is too long',
+      name: 'a message longer than the limit',
       body: Buffer.alloc(4 * 1024 * 1024 + 1),
       status: 400,
     },
@@ -122,15 +122,15 @@
       }));
   }
 
-  it('tell a caller where to connect, or that it is not known yet', async () => {
+  it('answer with addresses, or with 503 while none are known', async () => {
     const port = await findFreePort();
-    const asked: gateway.DirectoryQuery[] = [];
+    const queries: gateway.DirectoryQuery[] = [];
     const server = gateway.createDirectoryServer(
       {host: HOST, port},
       PATH,
-      question => {
-        asked.push(question);
-        return question.zone === 'a' ? {addresses: ['x:1']} : undefined;
+      query => {
+        queries.push(query);
+        return query.zone === 'a' ? {addresses: ['x:1']} : undefined;
       },
     );
     await server.start();
@@ -142,7 +142,7 @@
     chai.expect(JSON.parse(String(known.body))).eql({addresses: ['x:1']});
     chai.expect(unknown.status).equal(503);
     chai
-      .expect(asked[0])
+      .expect(queries[0])
       .eql({zone: 'a', region: 'r', callerHost: '127.0.0.1'});
   });
 });
--- a/packages/gateway/tests/event-splitter.test.ts
+++ b/packages/gateway/tests/event-splitter.test.ts
@@ -34,13 +34,13 @@
       rest: 0,
     },
     {
-      name: 'lines that end in two characters',
+      name: 'lines that end in CRLF',
       chunks: ['id: 3\r\ndata: x\r\n\r\n'],
       ids: [3],
       rest: 0,
     },
     {
-      name: 'a line of its own before the number',
+      name: 'an unknown field before the number',
       chunks: ['x-weight-versions: 2\nid: 4\ndata: x\n\n'],
       ids: [4],
       rest: 0,
@@ -52,7 +52,7 @@
       rest: 0,
     },
     {
-      name: 'a torn event',
+      name: 'an incomplete event after a complete one',
       chunks: ['id: 1\ndata: x\n\nid: 2\nda'],
       ids: [1],
       rest: 8,
@@ -65,7 +65,7 @@
     });
   });
 
-  it('loses no byte however a stream is cut into chunks', () => {
+  it('loses no byte for any division of a stream into chunks', () => {
     const text = 'id: 1\ndata: a\n\nid: 2\ndata: bb\n\nid: 3\ndata: c\n\n';
     fastCheck.assert(
       fastCheck.property(
--- a/packages/gateway/tests/raw-headers.test.ts
+++ b/packages/gateway/tests/raw-headers.test.ts
@@ -1,7 +1,7 @@
 import * as chai from 'chai';
 import * as gateway from '@amaranthknot/gateway';
 
-describe('headers that are passed on', () => {
+describe('keepEndToEnd', () => {
   const cases: readonly {
     readonly name: string;
     readonly given: readonly string[];
@@ -9,25 +9,25 @@
     readonly kept: readonly string[];
   }[] = [
     {
-      name: 'keeps order, spelling and repeats',
+      name: 'keeps order, spelling and repeated headers',
       given: ['X-A', '1', 'x-b', '2', 'X-A', '3'],
       dropped: [],
       kept: ['X-A', '1', 'x-b', '2', 'X-A', '3'],
     },
     {
-      name: 'drops what concerns one connection',
+      name: 'drops hop-by-hop headers',
       given: ['Connection', 'close', 'Keep-Alive', '5', 'TE', 'x', 'X-A', '1'],
       dropped: [],
       kept: ['X-A', '1'],
     },
     {
-      name: 'drops what the connection header names',
+      name: 'drops headers that the Connection header names',
       given: ['Connection', 'X-Hop, close', 'X-Hop', '1', 'X-A', '1'],
       dropped: [],
       kept: ['X-A', '1'],
     },
     {
-      name: 'drops what instances set themselves',
+      name: 'drops headers on the given list',
       given: ['X-Own', '1', 'X-A', '1'],
       dropped: ['x-own'],
       kept: ['X-A', '1'],
--- a/packages/gateway/tests/rollout-tracker.test.ts
+++ b/packages/gateway/tests/rollout-tracker.test.ts
@@ -6,7 +6,7 @@
 const SESSION_MS = 5_000;
 const DURATION_MS = 24_000;
 
-const WORK = {
+const REQUEST_CLASS = {
   service: 'engines',
   route: 'drafts',
   model: 'small',
@@ -15,11 +15,11 @@
 
 interface Setup {
   readonly tracker: rolloutTracker.RolloutTracker;
-  /** Notes a good answer of a version after so many milliseconds. */
+  /** Records a successful answer of a version with this first-byte time. */
   readonly answer: (version: string, firstByteMs: number) => void;
-  /** Notes the pace of a stream of a version, in ms between its events. */
+  /** Records the pace of a stream of a version, in ms between its events. */
   readonly stream: (version: string, paceMs: number) => void;
-  /** Whether any session still gets the new version. */
+  /** Whether any of 500 sessions still gets the new version. */
   readonly isExposed: () => boolean;
 }
 
@@ -53,29 +53,29 @@
     tracker,
     answer: (version, firstByteMs) => {
       tracker.recordAttempt({
-        ...WORK,
+        ...REQUEST_CLASS,
         version,
         isError: false,
         firstByteMs,
       });
     },
     stream: (version, paceMs) => {
-      tracker.recordPace({...WORK, version, paceMs});
+      tracker.recordPace({...REQUEST_CLASS, version, paceMs});
     },
     isExposed: () =>
       Array.from({length: 500}, (_, i) => `session-${i}`).some(session => {
-        const wish = tracker.chooseVersion('engines', session);
-        return wish.kind === 'only' && wish.accepts('v2');
+        const choice = tracker.chooseVersion('engines', session);
+        return choice.kind === 'only' && choice.accepts('v2');
       }),
   };
 };
 
-describe('roll-out tracker', () => {
+describe('RolloutTracker', () => {
   it('stops a version that is slow for half of its requests after an outage', async () => {
-    // A zone loses power while an order runs; a few answers of the old version
-    // take ten seconds. Then a version whose every other answer takes ten
-    // times as long is exposed, is taken for good, and gets all traffic.
-    // A mean of the old version's first bytes had made slow answers usual.
+    // When a zone loses power, a few answers of the old version take ten
+    // seconds. With a mean instead of a median, slow answers would then look
+    // typical, and a version that takes ten times as long for every other
+    // request would get all traffic.
     const {answer, isExposed} = await createTracker();
     for (let i = 0; i < 20; i++) {
       answer('v1', 180);
@@ -90,10 +90,10 @@
     chai.expect(isExposed()).equal(false);
   });
 
-  it('keeps a version that reads its prompts for the first time', async () => {
-    // All prompts are new to the upstreams of a new version, and come at once:
-    // its first answers take four times as long, which is no fault of it. It
-    // was rolled back after five of them, and operators missed their date.
+  it('keeps a version whose first prompts find empty caches', async () => {
+    // The first prompts of a new version arrive at once and find empty caches:
+    // its first answers take four times as long. If five such answers rolled
+    // it back, operators would miss their date although the version is good.
     const {answer, isExposed} = await createTracker();
     for (let i = 0; i < 40; i++) {
       answer('v1', 200);
@@ -104,11 +104,10 @@
     chai.expect(isExposed()).equal(true);
   });
 
-  it('stops a version whose streams drag on after a first token in time', async () => {
-    // Streams of the new version begin as soon as the old one's, and their
-    // events then take five times as long. Judged by first tokens alone it is
-    // completed; the old version's upstreams stop, and callers are left with
-    // late streams for good.
+  it('stops a version with slow streams after first tokens on time', async () => {
+    // First tokens come on time, but later events take five times as long.
+    // Judged by first tokens alone the rollout completes, the old version's
+    // upstreams stop, and all streams stay late.
     const {answer, stream, isExposed} = await createTracker();
     for (let i = 0; i < 30; i++) {
       answer('v1', 100);
--- a/packages/gateway/tests/upstream-catalog.test.ts
+++ b/packages/gateway/tests/upstream-catalog.test.ts
@@ -50,17 +50,18 @@
 const idsOf = (catalog: gateway.UpstreamCatalog): readonly string[] =>
   catalog.all().map(({upstream}) => upstream.id);
 
-describe('catalog of upstreams', () => {
-  it('drops an upstream at once when its entry goes on a calm day', () => {
+describe('UpstreamCatalog', () => {
+  it('drops an upstream at once if its entry goes in a stable store', () => {
     const catalog = createCatalog();
     catalog.update(entriesOf({a: {}, b: {}}), 0, true);
     catalog.update(entriesOf({a: {}}), 100, true);
     chai.expect(idsOf(catalog)).eql(['a']);
   });
 
-  it('keeps one whose entry lapsed while the store was away', () => {
-    // All callers are refused after an outage of seconds: entries lapse while
-    // the store is away, and live upstreams are back two seconds after.
+  it('keeps an upstream whose entry lapsed in an outage of the store', () => {
+    // Entries lapse during an outage of the store, and live upstreams register
+    // again within two seconds. Without the grace period all callers would be
+    // refused until then.
     const catalog = createCatalog();
     catalog.update(entriesOf({a: {}, b: {}}), 0, true);
     catalog.update(entriesOf({}), 100, false);
@@ -70,9 +71,9 @@
     chai.expect(idsOf(catalog)).eql(['a']);
   });
 
-  it('drops one that left just after the store came back, in time', () => {
-    // Requests reach an upstream two seconds after it said that it leaves: its
-    // grace was counted from when its entry was missed, not from the outage.
+  it('drops an upstream that left after an outage, once the store is stable', () => {
+    // A grace period that always runs in full from the missing entry would send
+    // requests to an upstream up to two seconds after it left.
     const catalog = createCatalog();
     catalog.update(entriesOf({a: {}}), 0, true);
     catalog.update(entriesOf({}), 1_500, false);
@@ -80,7 +81,7 @@
     chai.expect(idsOf(catalog)).empty;
   });
 
-  it('takes a new start under the same id for another upstream', () => {
+  it('treats a new start under the same id as another upstream', () => {
     const catalog = createCatalog();
     catalog.update(entriesOf({a: {coldForMs: 9_000}}), 0, true);
     catalog.update(entriesOf({a: {startedAtMs: 2}}, 2), 5_000, true);
@@ -88,14 +89,14 @@
     chai.expect(catalog.find('a')?.knownSinceMs).equal(5_000);
   });
 
-  it('does not warm an upstream up by a later entry', () => {
+  it('does not end a cold start early because of a later entry', () => {
     const catalog = createCatalog();
     catalog.update(entriesOf({a: {coldForMs: 3_000}}), 0, true);
     catalog.update(entriesOf({a: {coldForMs: 0}}, 2), 1_000, true);
     chai.expect(catalog.find('a')?.coldUntilMs).equal(3_000);
   });
 
-  it('passes over entries that name no upstream', () => {
+  it('ignores entries that describe no upstream', () => {
     const catalog = createCatalog();
     catalog.update(entriesOf({a: {}, b: undefined}), 0, true);
     chai.expect(idsOf(catalog)).eql(['a']);
--- a/packages/routing/src/address.ts
+++ b/packages/routing/src/address.ts
@@ -1,4 +1,4 @@
-/** Network addresses of upstreams and instances. */
+/** Parses and formats network addresses of upstreams and instances. */
 
 /** An IP address and a port. */
 export interface Address {
@@ -8,7 +8,7 @@
 
 const MAX_PORT = 65_535;
 
-/** Reads `192.0.2.7:8080`; undefined for other text. */
+/** Parses text such as `192.0.2.7:8080`; undefined for other text. */
 export const parseAddress = (text: string): Address | undefined => {
   const match = /^(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})$/.exec(text);
   const host = match?.[1];
@@ -18,6 +18,6 @@
     : undefined;
 };
 
-/** Writes an address as `parseAddress` reads it. */
+/** Formats an address so that `parseAddress` parses it. */
 export const formatAddress = ({host, port}: Address): string =>
   `${host}:${port}`;
--- a/packages/routing/src/find-route.ts
+++ b/packages/routing/src/find-route.ts
@@ -1,4 +1,4 @@
-/** Finds the route of a request. */
+/** Finds the route of a request by host and path prefix. */
 import type * as routingTable from './routing-table.js';
 
 type Route = routingTable.Route;
@@ -30,8 +30,8 @@
 };
 
 /**
- * The route of the host whose prefix is the longest that begins the path;
- * undefined where none does.
+ * The route of the host with the longest prefix that matches the path;
+ * undefined if none matches.
  */
 export const findRoute = (
   table: routingTable.RoutingTable,
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,4 +1,4 @@
-/** Routes, services, upstreams and roll-outs as the gateway knows them. */
+/** Routes, services, upstreams and rollouts as the gateway knows them. */
 export * from './address.js';
 export * from './find-route.js';
 export * from './rollout.js';
--- a/packages/routing/src/rollout.ts
+++ b/packages/routing/src/rollout.ts
@@ -1,17 +1,17 @@
-/** Roll-outs as operators order them. */
+/** Rollouts that operators request. */
 
-/** How far a roll-out has come. */
+/** State of a rollout. */
 export type RolloutState = 'running' | 'completed' | 'rolled_back';
 
-/** An order to move a service's traffic to another version. */
+/** A request to move the traffic of a service to another version. */
 export interface Rollout {
   readonly service: string;
-  /** Version that is to take over. */
+  /** Version that is to get the traffic. */
   readonly version: string;
-  /** Time from the order until it must have ended, in milliseconds. */
+  /** Time from the request until the rollout must have ended, in ms. */
   readonly durationMs: number;
   /** `running` until an instance has reported an end. */
   readonly state: RolloutState;
-  /** Version of the order's object; reports are written against it. */
+  /** Store version of the object; reports are written against it. */
   readonly revision: number;
 }
--- a/packages/routing/src/routing-table.ts
+++ b/packages/routing/src/routing-table.ts
@@ -1,22 +1,22 @@
 /**
- * The routing table: one version of what operators have configured for the
- * gateway. It is immutable; a change brings a new table with a higher version.
+ * The routing table: one version of the operators' configuration for the
+ * gateway. It is immutable; a change creates a table with a higher version.
  */
 
 /**
- * What may be repeated.
+ * Whether requests may be repeated.
  *
- * - `idempotent`: the request may run any number of times.
- * - `at_most_once`: it may run once at most.
- * - `stream`: the answer is a stream of numbered events; whether it may be
- *   resumed stands in `Route.isResumable`.
+ * - `idempotent`: a request may run any number of times.
+ * - `at_most_once`: a request may run once at most.
+ * - `stream`: the answer is a stream of numbered events; `Route.isResumable`
+ *   says whether it may be resumed.
  */
 export type RouteKind = 'idempotent' | 'at_most_once' | 'stream';
 
-/** One service that a route may use, with its share of the traffic. */
+/** A service that a route uses, with its share of the traffic. */
 export interface RouteTarget {
   readonly service: string;
-  /** Relative to the sum over the route's targets. */
+  /** Relative to the sum of the weights of the route's targets. */
   readonly weight: number;
 }
 
@@ -36,11 +36,11 @@
   /** Rank among routes; 0 is the most urgent. */
   readonly priority: number;
   readonly targets: readonly RouteTarget[];
-  /** Upstreams on which one request may run. */
+  /** Maximum number of upstreams on which one request may run. */
   readonly maxAttempts: number;
   /** Whether requests need no API key. */
   readonly isPublic: boolean;
-  /** Whether a broken stream may go on at another upstream. */
+  /** Whether a broken stream may resume at another upstream. */
   readonly isResumable: boolean;
   /** Models that may answer, cheapest first; empty where the caller chooses. */
   readonly models: readonly string[];
@@ -51,13 +51,13 @@
 /** A model that a service runs. */
 export interface ServiceModel {
   readonly name: string;
-  /** Price of 1,000 generated tokens; tokens read cost a quarter of it. */
+  /** Price of 1,000 generated tokens; prompt tokens cost a quarter of it. */
   readonly cost: number;
 }
 
-/** What a service's model engines are like. */
+/** Properties of a service's model engines. */
 export interface Engine {
-  /** Requests that one engine batches. */
+  /** Requests that one engine batches at a time. */
   readonly slots: number;
   /** Tokens that fit into one engine's cache. */
   readonly cacheTokens: number;
@@ -68,17 +68,17 @@
 export interface Service {
   readonly name: string;
   readonly healthPath: string;
-  /** Connections that one upstream takes from all instances together. */
+  /** Connections that one upstream accepts from all instances together. */
   readonly connectionLimit: number;
   /** How long an upstream stays cold after its start, in milliseconds. */
   readonly coldStartMs: number;
-  /** Requests a second that one cold upstream bears. */
+  /** Requests a second that one cold upstream can take; 0 for no limit. */
   readonly coldPerSecond: number;
-  /** Present for model engines. */
+  /** Present if the upstreams are model engines. */
   readonly engine?: Engine;
 }
 
-/** A workspace: one customer. */
+/** A workspace, which is one customer. */
 export interface Workspace {
   readonly name: string;
   /** Rank among workspaces; 0 is the most urgent. */
@@ -87,7 +87,7 @@
   readonly allowedRegions: readonly string[];
 }
 
-/** What callers may send, in bytes, and how slowly, in milliseconds. */
+/** Limits of what callers may send, and how slowly. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
--- a/packages/routing/src/upstream.ts
+++ b/packages/routing/src/upstream.ts
@@ -1,23 +1,23 @@
-/** Upstreams as they register themselves. */
+/** Upstreams as they register themselves in the store. */
 import type * as address from './address.js';
 
-/** Whether an upstream takes new work. */
+/** Whether an upstream accepts new requests. */
 export type UpstreamState = 'ready' | 'leaving';
 
 /** One registered upstream. */
 export interface Upstream {
-  /** New at each start of the upstream, mostly. */
+  /** Usually new at each start of the upstream. */
   readonly id: string;
-  /** Tells two starts under one id apart: the start's wall time, in ms. */
+  /** Wall time of its start, in ms; distinguishes starts under one id. */
   readonly startedAtMs: number;
   readonly service: string;
   readonly address: address.Address;
   readonly zone: string;
   /** Version of the service that it runs. */
   readonly version: string;
-  /** Requests that it works on at once. */
+  /** Requests that it processes at a time. */
   readonly slots: number;
   readonly state: UpstreamState;
-  /** How long it stays cold from when it wrote this, in milliseconds. */
+  /** Remaining cold start when it wrote this entry, in milliseconds. */
   readonly coldForMs: number;
 }
--- a/packages/upstreams/src/answer-assembler.ts
+++ b/packages/upstreams/src/answer-assembler.ts
@@ -1,31 +1,34 @@
 /**
- * Puts an answer together from chunks that may come late, crossed or doubled.
+ * Assembles an answer from the chunks of one or more streams.
  *
- * Guards against an engine or a connection that delivers another request's
- * chunk, one chunk twice, or skips one: the caller would see foreign or
- * garbled text. Each chunk names its request and its offset, so only the next
- * chunk of the right request is taken.
+ * Guards against an engine or a connection that delivers a chunk of another
+ * request, delivers one twice or skips one: the caller would get foreign or
+ * garbled text. Each chunk carries its request id and its offset, so only the
+ * next chunk of the right request is accepted.
  */
 
-/** A chunk as an engine sends it. */
+/** One chunk of an engine's answer. */
 export interface Chunk {
   readonly id: string;
   /** Index of the token, counted from the start of the whole answer. */
   readonly offset: number;
   readonly text: string;
-  /** Present on the last chunk only. */
+  /** Present only in the last chunk. */
   readonly end?: AnswerEnd;
 }
 
-/** What the last chunk tells about the whole answer. */
+/** What the last chunk reports on the whole answer. */
 export interface AnswerEnd {
   readonly finishReason: string;
   readonly completionTokens: number;
-  /** The engine's own score of the answer, 0 to 1; 1 when it gives none. */
+  /** The engine's confidence in the answer, 0 to 1; 1 if it reports none. */
   readonly confidence: number;
 }
 
-/** What became of a chunk. */
+/**
+ * Result of one chunk. A discarded one is `crossed` if it belongs to another
+ * request, `doubled` if its offset came before, `gap` if offsets are missing.
+ */
 export type ChunkResult =
   | {readonly kind: 'token'; readonly text: string}
   | {readonly kind: 'end'; readonly end: AnswerEnd}
@@ -34,19 +37,19 @@
       readonly reason: 'crossed' | 'doubled' | 'gap';
     };
 
-/** Takes the chunks of one answer in order, each once. */
+/** Accepts each chunk of one answer once, in order. */
 export class AnswerAssembler {
   private nextOffset = 0;
 
-  /** @param id identity of the request that the answer belongs to. */
+  /** @param id id of the request that the answer belongs to. */
   constructor(private readonly id: string) {}
 
-  /** Tokens taken so far; where a broken stream is resumed. */
+  /** Tokens accepted so far; the offset at which a broken stream resumes. */
   get offset(): number {
     return this.nextOffset;
   }
 
-  /** Judges the next chunk. */
+  /** Accepts or discards a chunk. */
   take(chunk: Chunk): ChunkResult {
     if (chunk.id !== this.id) {
       return {kind: 'discarded', reason: 'crossed'};
--- a/packages/upstreams/src/engine-client.ts
+++ b/packages/upstreams/src/engine-client.ts
@@ -1,6 +1,6 @@
 /**
  * Client of a model engine: opens one streamed completion and yields its
- * chunks. It never retries; what it reports says whether work may have begun.
+ * chunks. It never retries; a failure states whether work may have begun.
  */
 import * as http from 'node:http';
 import * as eventsourceParser from 'eventsource-parser';
@@ -17,13 +17,13 @@
   /** `model@version`. */
   readonly model: string;
   readonly messages: readonly unknown[];
-  /** Tokens already held by the caller; 0 for a new answer. */
+  /** Tokens that the caller already has; 0 for a new answer. */
   readonly resumeFrom: number;
   readonly priority: string;
   readonly maxTokens?: number;
 }
 
-/** Why a stream ended without its last chunk. */
+/** Why a stream ended before its last chunk. */
 export type EngineFailureCode =
   | 'unreachable'
   | 'overloaded'
@@ -40,21 +40,21 @@
   readonly message: string;
 }
 
-/** What a stream yields: chunks, then at most one failure. */
+/** An event of a stream: chunks, then at most one failure. */
 export type EngineEvent =
   | {readonly kind: 'chunk'; readonly chunk: answerAssembler.Chunk}
   | {readonly kind: 'failed'; readonly failure: EngineFailure};
 
-/** Opens a stream of chunks. */
+/** Opens a stream of chunks; failures are yielded as events. */
 export type OpenEngineStream = (
   call: EngineCall,
   signal: AbortSignal,
 ) => AsyncIterable<EngineEvent>;
 
-/** Longest silence on a stream, in milliseconds, before it counts as broken. */
+/** Silence after which a stream counts as broken, in milliseconds. */
 export const DEFAULT_IDLE_TIMEOUT_MS = 10_000;
 
-/** What of a chunk on the wire is read. */
+/** The fields of a chunk on the wire that are used. */
 interface WireChunk {
   readonly id: string;
   readonly offset: number;
@@ -83,8 +83,8 @@
   (isObject(usage) && typeof usage['completion_tokens'] === 'number');
 
 /**
- * Checked by hand: a schema library's checks were a tenth of the CPU time of
- * a streamed token, of which an instance passes on thousands a second.
+ * Hand-written, because the checks of a schema library took a tenth of the CPU
+ * time of a streamed token, of which an instance relays thousands a second.
  */
 const isWireChunk = (data: unknown): data is WireChunk =>
   isObject(data) &&
@@ -133,7 +133,7 @@
   return failure.code ?? failure.data?.code ?? failure.message ?? '';
 };
 
-/** Failures of a connection that prove that no byte was taken. */
+/** Connection errors that prove that no byte was sent. */
 const NEVER_CONNECTED = /ECONNREFUSED|EHOSTUNREACH|ENETUNREACH/;
 
 const describeBreak = (code: string, signal: AbortSignal): EngineEvent => {
@@ -204,8 +204,8 @@
 };
 
 /**
- * Waits for the response's head. The listener of errors stays: one that comes
- * after the head, when the connection breaks, would otherwise end the process.
+ * Waits for the head of the response. The error listener stays attached: an
+ * error after the head, when the connection breaks, would end the process.
  */
 const readHead = (request: http.ClientRequest): Promise<http.IncomingMessage> =>
   new Promise((resolve, reject) => {
@@ -213,7 +213,7 @@
     request.once('response', resolve);
   });
 
-/** Creates a client over kept connections, bounded to `maxSockets` each. */
+/** Creates a client with up to `maxSockets` kept connections to each engine. */
 export const createEngineClient = (
   maxSockets = 256,
   idleTimeoutMs = DEFAULT_IDLE_TIMEOUT_MS,
@@ -251,7 +251,7 @@
       yield describeBreak(code, signal);
     } finally {
       signal.removeEventListener('abort', abort);
-      // Frees the engine's slot when the reader stops before the end.
+      // Frees the engine's slot if the reader stops before the end.
       if (!request.closed && !request.destroyed) {
         closeUnlessDrained(request);
       }
--- a/packages/upstreams/src/run-completion.ts
+++ b/packages/upstreams/src/run-completion.ts
@@ -1,7 +1,7 @@
 /**
  * Runs one completion to its end on upstreams of one version: resumes a broken
- * stream at its offset, on the same upstream or another, and passes each token
- * on once. An answer without its end is never passed on as whole.
+ * stream at its offset and yields each token once. An answer without its end is
+ * never yielded as finished.
  */
 import * as answerAssembler from './answer-assembler.js';
 import type * as engineClient from './engine-client.js';
@@ -10,16 +10,16 @@
 export interface Placement {
   readonly upstream: string;
   readonly address: string;
-  /** Notes the first token, whose latency tells how loaded it is. */
+  /** Records the first token; its latency indicates the upstream's load. */
   readonly recordFirstToken?: () => void;
-  /** Reports the attempt's end, for load and latency accounting. */
+  /** Records the end of the attempt, for load and latency estimates. */
   readonly settle: (outcome: AttemptOutcome) => void;
 }
 
 /** How an attempt on one upstream ended. */
 export type AttemptOutcome = 'finished' | 'refused' | 'failed' | 'cancelled';
 
-/** What a run yields: tokens, then one `finished` or `failed`. */
+/** An event of a run: tokens, then one `finished` or `failed`. */
 export type CompletionEvent =
   | {readonly kind: 'token'; readonly text: string}
   | {
@@ -29,7 +29,7 @@
     }
   | {readonly kind: 'failed'; readonly failure: engineClient.EngineFailure};
 
-/** What a run tells while it goes on, for the time line. */
+/** Progress of a run, for the time line. */
 export type CompletionNotice =
   | {readonly kind: 'started'; readonly upstream: string}
   | {
@@ -47,9 +47,9 @@
 /** What a run needs. */
 export interface CompletionDependencies {
   readonly open: engineClient.OpenEngineStream;
-  /** Picks an upstream, avoiding those tried; undefined when there is none. */
+  /** Picks an upstream, avoiding those tried; undefined if there is none. */
   readonly place: (tried: readonly string[]) => Placement | undefined;
-  /** Takes one retry from the budget; false when there is none left. */
+  /** Takes one retry from the budget; false if none is left. */
   readonly mayRetry: () => boolean;
   readonly notify: (notice: CompletionNotice) => void;
 }
@@ -61,18 +61,18 @@
 >;
 
 /**
- * Attempts for one completion. A zone or a switch takes several upstreams at
- * once, so two are too few; past five the fault is in the request or
- * everywhere, and more attempts only add load.
+ * Maximum attempts for one completion. The failure of a zone or a switch takes
+ * down several upstreams at once, so two are too few. After five the fault is
+ * in the request or everywhere, and more attempts only add load.
  */
 export const MAX_ATTEMPTS = 5;
 
 /**
- * Failures whose repetition the retry budget bounds: those by which an
- * upstream may be saying that it has too much, so that retries would feed the
- * overload. A lost upstream or zone breaks many streams at once, far over the
- * budget; those requests were accepted and are moved, each `MAX_ATTEMPTS`
- * times at most.
+ * Failures after which a retry needs the retry budget: those that may mean
+ * overload, which retries would increase. Other failures are not limited by the
+ * budget: a lost upstream or zone breaks many more streams at once than it
+ * allows, and those requests were accepted. They are moved to other upstreams,
+ * with at most `MAX_ATTEMPTS` attempts each.
  */
 const BUDGETED_FAILURES: readonly engineClient.EngineFailureCode[] = [
   'overloaded',
@@ -94,7 +94,7 @@
   return failure.ran === 'not_run' ? 'refused' : 'failed';
 };
 
-/** The most that any attempt may have run. */
+/** The combined status of two attempts: `ran` over `unknown` over `not_run`. */
 const mostExecuted = (
   a: engineClient.ExecutionStatus,
   b: engineClient.ExecutionStatus,
@@ -105,7 +105,7 @@
       ? 'unknown'
       : 'not_run';
 
-/** Yields the attempt's items; ends with a failure unless it finished. */
+/** Yields the events of one attempt; without a last event it broke off. */
 async function* runAttempt(
   dependencies: CompletionDependencies,
   request: CompletionRequest,
--- a/packages/upstreams/src/service-client.ts
+++ b/packages/upstreams/src/service-client.ts
@@ -1,4 +1,4 @@
-/** Client of plain services: one call, one outcome, never a retry. */
+/** Client of plain services: one call, one outcome, no retries. */
 import * as http from 'node:http';
 import * as purify from 'purify-ts';
 import * as wreck from '@hapi/wreck';
@@ -14,30 +14,30 @@
   readonly body?: Buffer;
 }
 
-/** A service's whole answer. */
+/** A service's complete answer. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: Buffer;
 }
 
-/** A call that gave no whole answer. */
+/** A call without a complete answer, and whether it may have run. */
 export interface ServiceFailure {
   readonly code: 'unreachable' | 'overloaded' | 'crossed' | 'broken';
   readonly ran: engineClient.ExecutionStatus;
   readonly message: string;
 }
 
-/** Calls a service. */
+/** Calls a service; a failed call resolves to a Left. */
 export type ServiceClient = (
   call: ServiceCall,
   signal: AbortSignal,
 ) => Promise<purify.Either<ServiceFailure, ServiceAnswer>>;
 
-/** Largest answer taken from a service, in bytes. */
+/** Largest accepted answer of a service, in bytes. */
 export const MAX_ANSWER_BYTES = 1024 * 1024;
 
-/** Longest wait for a service's answer, in milliseconds. */
+/** Timeout of a call, in milliseconds. */
 export const DEFAULT_TIMEOUT_MS = 10_000;
 
 const NEVER_CONNECTED = /ECONNREFUSED|EHOSTUNREACH|ENETUNREACH/;
@@ -70,10 +70,10 @@
     const message = 'the service is at its limit';
     return purify.Left({code: 'overloaded', ran: 'not_run', message});
   }
-  const identity = response.headers['x-request-id'];
-  if (identity !== undefined && identity !== call.requestId) {
-    // A kept connection that delivers another call's late answer shows as a
-    // foreign identity; our own call's outcome is then not known.
+  const answeredId = response.headers['x-request-id'];
+  if (answeredId !== undefined && answeredId !== call.requestId) {
+    // A late answer to another call carries that call's id. The outcome of this
+    // call is then unknown.
     const message = 'the answer belongs to another request';
     return purify.Left({code: 'crossed', ran: 'unknown', message});
   }
@@ -81,12 +81,12 @@
   return purify.Right({status, contentType, body});
 };
 
-/** Creates a client over kept connections. */
+/** Creates a client that opens a connection for each call. */
 export const createServiceClient = (
   timeoutMs = DEFAULT_TIMEOUT_MS,
 ): ServiceClient => {
-  // A kept connection that the service closes as we send would leave it
-  // unclear whether the call ran, so each call takes a connection of its own.
+  // If a service closed a kept connection during a send, it would be unknown
+  // whether the call ran, so each call opens its own connection.
   const agent = new http.Agent({keepAlive: false});
   return async (call, signal) => {
     const sending = wreck.default.request(
