--- a/packages/entry/src/admission-controller.ts
+++ b/packages/entry/src/admission-controller.ts
@@ -1,15 +1,15 @@
-/** Waits for the pure admission queue's decisions; holds callers meanwhile. */
+/** Holds callers until the admission queue, a pure decision, admits them. */
 import * as purify from 'purify-ts';
 import type * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
 import type * as apiError from './api-error.js';
 
-/** Gives the slot back; only the first call counts. */
+/** Releases the slot; further calls have no effect. */
 export type Release = () => void;
 
 type Decision = purify.Either<apiError.ApiError, Release>;
 
-/** How often waiting requests are checked for expiry, in milliseconds. */
+/** Interval of expiry checks while requests wait, in milliseconds. */
 const EXPIRY_CHECK_INTERVAL_MS = 20;
 
 const CODE_BY_REASON: Record<
@@ -34,7 +34,7 @@
   retryAfterMs,
 });
 
-/** Admits callers one by one as the queue decides. */
+/** Admits, queues or refuses requests as the admission queue decides. */
 export class AdmissionController {
   private readonly waiting = new Map<string, (decision: Decision) => void>();
   private expiring = false;
@@ -44,17 +44,20 @@
     private readonly clock: ports.Clock,
   ) {}
 
-  /** Requests that run. */
+  /** Number of admitted requests that have not released their slot. */
   get inFlight(): number {
     return this.queue.inFlight;
   }
 
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   get queued(): number {
     return this.queue.queued;
   }
 
-  /** Resolves when the request may run, or at once when it is refused. */
+  /**
+   * Resolves when the request is admitted, refused or given up on. An abort of
+   * `signal` removes a waiting request from the queue.
+   */
   admit(
     request: decisions.AdmissionRequest,
     signal: AbortSignal,
@@ -117,7 +120,7 @@
     }
   }
 
-  /** Runs while anyone waits: a request given up on is answered at once. */
+  /** Checks for expired requests while any wait, so that they are answered. */
   private async expire(): Promise<void> {
     if (this.expiring) {
       return;
--- a/packages/entry/src/api-error.ts
+++ b/packages/entry/src/api-error.ts
@@ -1,9 +1,9 @@
 /**
- * Errors towards callers: OpenAI-style JSON with a code, whether the request
- * ran, and when to come back.
+ * Errors sent to callers: OpenAI-style JSON with a code, whether the request
+ * ran, and when to retry.
  */
 
-/** What went wrong, as callers and operators read it. */
+/** Error code, as sent to callers and counted in metrics. */
 export type ApiErrorCode =
   | 'invalid_request'
   | 'invalid_key'
@@ -24,15 +24,17 @@
   | 'platform_out'
   | 'internal';
 
-/** Whether the request ran; `not_run` is said only when certain. */
+/** Whether the request ran; `not_run` only when this is certain. */
 export type ExecutionStatus = 'not_run' | 'unknown' | 'ran';
 
-/** A refusal or failure as the caller gets it. */
+/** A refusal or failure, as sent to the caller. */
 export interface ApiError {
   readonly code: ApiErrorCode;
   readonly ran: ExecutionStatus;
   readonly message: string;
-  /** When to come back, in milliseconds; absent when it is of no use. */
+  /**
+   * Time after which to retry, in milliseconds; absent if it would not help.
+   */
   readonly retryAfterMs?: number;
 }
 
@@ -57,10 +59,10 @@
   internal: 500,
 };
 
-/** HTTP status of an error. */
+/** HTTP status that belongs to the error's code. */
 export const statusOf = (error: ApiError): number => STATUS[error.code];
 
-/** JSON body of an error, in the shape that OpenAI clients read. */
+/** JSON body of an error, in the format that OpenAI clients read. */
 export const toErrorBody = (
   error: ApiError,
   requestId: string,
@@ -83,8 +85,8 @@
   String(Math.max(1, Math.ceil(retryAfterMs / 1000)));
 
 /**
- * Time to stay away, with jitter: callers refused in the same moment must not
- * all return in the same moment.
+ * Adds jitter to a retry time, in milliseconds: callers that are refused at the
+ * same moment must not all retry at the same moment.
  */
 export const jitterRetryAfter = (
   baseMs: number,
--- a/packages/entry/src/authenticate.ts
+++ b/packages/entry/src/authenticate.ts
@@ -1,4 +1,4 @@
-/** Who is calling: workspaces by key digest, operators and peers by key. */
+/** Authentication of callers, operators and peers by their keys. */
 import * as crypto from 'node:crypto';
 import type * as configuration from '@amaranthknot/configuration';
 
@@ -6,7 +6,7 @@
 export const digestKey = (key: string): string =>
   crypto.createHash('sha256').update(key).digest('hex');
 
-/** Compares two digests without telling by time where they differ. */
+/** Compares two hex digests in constant time. */
 export const equalDigests = (a: string, b: string): boolean => {
   const left = Buffer.from(a, 'hex');
   const right = Buffer.from(b, 'hex');
@@ -32,7 +32,7 @@
     ),
   );
 
-/** Built once for each configuration in force, not for each request. */
+/** Builds the index once per document instead of once per request. */
 const findIndex = (document: configuration.Document): Index => {
   const known = indexes.get(document);
   if (known) {
@@ -44,9 +44,9 @@
 };
 
 /**
- * Finds the workspace of a key. The time of the look-up may tell something
- * about the SHA-256 digest of a guess, which says nothing of a key that is
- * close to it; the digest found is then compared in constant time.
+ * Finds the workspace of a key. The timing of the look-up may reveal something
+ * about the SHA-256 digest of a guess, but that does not help to guess a
+ * similar key. The digest found is then compared in constant time.
  */
 export const findWorkspace = (
   document: configuration.Document,
--- a/packages/entry/src/chat-observer.ts
+++ b/packages/entry/src/chat-observer.ts
@@ -1,15 +1,17 @@
-/** Tells the time line, metrics, cascades and roll-outs what runs do. */
+/**
+ * Records the progress of chat runs in events, metrics, cascades, roll-outs.
+ */
 import type * as upstreams from '@amaranthknot/upstreams';
 import type * as chatRunner from './chat-runner.js';
 import type * as entryDependencies from './entry-dependencies.js';
 
-/** Observes chat runs. */
+/** Receives the events of all chat runs of this instance. */
 export class ChatObserver {
   constructor(
     private readonly dependencies: entryDependencies.EntryDependencies,
   ) {}
 
-  /** Takes in what happens in a run. */
+  /** Records an event of a run. */
   notify(event: chatRunner.StageEvent): void {
     const {run} = event;
     const {model, version} = run;
@@ -52,8 +54,8 @@
   }
 
   /**
-   * Counts a failure against the version only where its engine took the
-   * request: a full or lost upstream says nothing about a version.
+   * Counts a failure as evidence against the version only if its engine may
+   * have run the request: a full or lost upstream says nothing about a version.
    */
   private countFailure(
     event: Extract<chatRunner.StageEvent, {readonly kind: 'stage_failed'}>,
@@ -66,7 +68,7 @@
     this.dependencies.recordObservation(run.model, run.version, observation);
   }
 
-  /** Takes in what happens in one attempt of a stage. */
+  /** Records an event of one attempt of a stage. */
   notifyAttempt(
     run: chatRunner.StageRun,
     event: upstreams.CompletionNotice,
--- a/packages/entry/src/chat-request.ts
+++ b/packages/entry/src/chat-request.ts
@@ -1,9 +1,9 @@
-/** The body of a chat completion request. */
+/** Parses the body of a chat completion request. */
 import * as purify from 'purify-ts';
 import * as zod from 'zod';
 import type * as apiError from './api-error.js';
 
-/** Messages in one request; a longer history belongs in fewer messages. */
+/** Maximum messages per request; callers must merge a longer history. */
 const MAX_MESSAGES = 1_000;
 
 const MESSAGE = zod.looseObject({
@@ -30,14 +30,14 @@
   readonly stream: boolean;
   readonly includeUsage: boolean;
   readonly maxTokens?: number;
-  /** Kind of task, from `metadata.task`; groups what cascades learn. */
+  /** Kind of task, from `metadata.task`; cascades learn per task. */
   readonly task: string;
 }
 
-/** Task of requests that name none. */
+/** Task of requests without `metadata.task`. */
 export const DEFAULT_TASK = 'general';
 
-/** Longest task name; longer ones would grow what cascades learn. */
+/** Maximum length of a task name; bounds the memory of what cascades learn. */
 const MAX_TASK_LENGTH = 64;
 
 const describeIssue = (issue: zod.core.$ZodIssue): string => {
@@ -45,7 +45,7 @@
   return path === '' ? issue.message : `${path}: ${issue.message}`;
 };
 
-/** Parses the JSON text of a request. */
+/** Parses and validates JSON; Left names each invalid field. */
 export const parseChatRequest = (
   text: string,
 ): purify.Either<apiError.ApiError, ChatRequest> => {
--- a/packages/entry/src/chat-routes.ts
+++ b/packages/entry/src/chat-routes.ts
@@ -1,4 +1,4 @@
-/** `/v1/chat/completions`: from a caller's request to its whole answer. */
+/** Handles `/v1/chat/completions`, plain and streamed. */
 import * as stream from 'node:stream';
 import type * as hapi from '@hapi/hapi';
 import * as decisions from '@amaranthknot/decisions';
@@ -13,7 +13,7 @@
 import * as requestContext from './request-context.js';
 import * as sessionToken from './session-token.js';
 
-/** Tokens that a stage is expected to generate, for comparing costs. */
+/** Tokens that a stage is assumed to generate when costs are compared. */
 const EXPECTED_TOKENS = 500;
 
 const toChunkIdentity = (
@@ -24,7 +24,7 @@
   created: Math.floor(dependencies.clock.wallTime() / 1000),
 });
 
-/** Answers chat completion requests. */
+/** Route handler of chat completions. */
 export class ChatRoutes {
   private readonly observer: chatObserver.ChatObserver;
 
@@ -34,7 +34,7 @@
     this.observer = new chatObserver.ChatObserver(dependencies);
   }
 
-  /** Handles one request. */
+  /** Prepares, admits and runs one request, and answers it. */
   async handle(
     request: hapi.Request,
     h: hapi.ResponseToolkit,
@@ -60,7 +60,7 @@
       : this.answerPlain(h, chat, events);
   }
 
-  /** Runs an admitted request; the slot is given back at its end. */
+  /** Runs an admitted request and releases its slot at the end. */
   private async *run(
     chat: prepareChat.PreparedChat,
     release: () => void,
@@ -83,7 +83,7 @@
             yield event;
             break;
           case 'answered':
-            // Before the yield: a reader that has its answer reads no further.
+            // Before the yield: the consumer stops reading after the answer.
             dependencies.offerForRating({call, answer: event.answer, text});
             yield await this.recordBill(chat, event.answer);
             break;
@@ -177,8 +177,8 @@
   }
 
   /**
-   * Makes the bill safe before the answer's end. An instance that is killed
-   * after the end would otherwise take an answered request's bill with it.
+   * Makes the bill durable before the answer ends. Otherwise an instance that
+   * is killed after the end would lose the bill of an answered request.
    */
   private async recordBill(
     chat: prepareChat.PreparedChat,
@@ -250,7 +250,9 @@
     return this.refuse(h, this.createCancelledError(), requestId, chat.call);
   }
 
-  /** Waits for the first item, so that a failure still has its status. */
+  /**
+   * Waits for the first event, so that an early failure gets its HTTP status.
+   */
   private async answerStreamed(
     h: hapi.ResponseToolkit,
     chat: prepareChat.PreparedChat,
--- a/packages/entry/src/chat-runner.ts
+++ b/packages/entry/src/chat-runner.ts
@@ -1,7 +1,7 @@
 /**
- * Runs one chat request through its stages: from the starting stage upwards,
- * until an answer is accepted. Tokens of a stage that may still be rejected
- * are held back; those of the last stage are passed on as they come.
+ * Runs one chat request through the stages of its cascade, from the start stage
+ * upwards, until an answer is accepted. Tokens of a stage whose answer may be
+ * rejected are buffered; tokens of the last stage are streamed.
  */
 import type * as configuration from '@amaranthknot/configuration';
 import type * as upstreams from '@amaranthknot/upstreams';
@@ -9,24 +9,24 @@
 import type * as chatRequest from './chat-request.js';
 import type * as resolvePlan from './resolve-plan.js';
 
-/** A chat request that was admitted. */
+/** An authenticated chat request with its plan. */
 export interface ChatCall {
   readonly requestId: string;
   readonly workspace: configuration.Workspace;
   readonly plan: resolvePlan.Plan;
   readonly request: chatRequest.ChatRequest;
-  /** Key of upstreams' prefix caches: a session or the first message. */
+  /** Placement key of the session: its requests share a prompt prefix. */
   readonly affinityKey: string;
 }
 
-/** The stage that an attempt runs. */
+/** One stage of a request, on one version. */
 export interface StageRun {
   readonly call: ChatCall;
   readonly model: string;
   readonly version: string;
 }
 
-/** What one stage cost. */
+/** Tokens and cost of one stage. */
 export interface StageCost {
   readonly model: string;
   readonly version: string;
@@ -34,7 +34,7 @@
   readonly cost: number;
 }
 
-/** A whole answer. */
+/** A complete answer, without its text. */
 export interface ChatAnswer {
   readonly model: string;
   readonly version: string;
@@ -43,12 +43,14 @@
   readonly tokens: number;
   /** The engine's own score, 0 to 1. */
   readonly confidence: number;
-  /** Cost of all stages that ran. */
+  /** Total cost of all stages that ran, also of rejected ones. */
   readonly cost: number;
   readonly stages: readonly StageCost[];
 }
 
-/** What a run yields: tokens, then one `answered` or `failed`. */
+/**
+ * Event of a run: tokens, then `answered` or `failed`, or none after an abort.
+ */
 export type ChatEvent =
   | {
       readonly kind: 'token';
@@ -59,14 +61,18 @@
   | {readonly kind: 'answered'; readonly answer: ChatAnswer}
   | {readonly kind: 'failed'; readonly error: apiError.ApiError};
 
-/** Where a request starts and what it accepts, by stage of the plan. */
+/**
+ * Start stage and acceptance rule of a request; stages by index in the plan.
+ */
 export interface StageChoice {
   readonly startStage: number;
-  /** Whether the answer of a stage is accepted; never asked of the last. */
+  /**
+   * Whether the answer of a stage is accepted; not called for the last stage.
+   */
   readonly accepts: (stage: number, confidence: number) => boolean;
 }
 
-/** What happens in a run, for the time line and for learning. */
+/** Progress of a run, for events, metrics and what cascades learn. */
 export type StageEvent =
   | {readonly kind: 'stage_started'; readonly run: StageRun}
   | {
@@ -83,7 +89,7 @@
       readonly failure: upstreams.EngineFailure;
     };
 
-/** What a run needs. */
+/** Dependencies of `runChat`. */
 export interface ChatDependencies {
   readonly chooseStages: (call: ChatCall) => StageChoice;
   readonly selectVersion: (
@@ -97,7 +103,7 @@
   readonly notify: (event: StageEvent) => void;
 }
 
-/** Failures by which no upstream had room for the request. */
+/** Failures that mean that no upstream could take the request. */
 const CAPACITY_FAILURES: readonly upstreams.EngineFailureCode[] = [
   'unreachable',
   'overloaded',
@@ -160,7 +166,7 @@
     yield {kind: 'failed', error: {...this.lastError, ran}};
   }
 
-  /** Runs one stage; says whether its answer was passed on. */
+  /** Runs one stage; returns whether its answer was accepted. */
   private async *runStage(
     stage: resolvePlan.PlanStage,
     version: string,
@@ -242,7 +248,7 @@
   }
 }
 
-/** Runs a chat request. */
+/** Runs an admitted chat request; see `ChatEvent` for what it yields. */
 export const runChat = (
   dependencies: ChatDependencies,
   call: ChatCall,
--- a/packages/entry/src/chat-sessions.ts
+++ b/packages/entry/src/chat-sessions.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a session on its versions: from its token, or from the session id
- * that the caller chose itself.
+ * Keeps each session on its versions, by its session token or by a session id
+ * that the caller chose.
  */
 import type * as hapi from '@hapi/hapi';
 import * as purify from 'purify-ts';
@@ -13,19 +13,19 @@
 import * as selectVersion from './select-version.js';
 import * as sessionToken from './session-token.js';
 
-/** Header that carries a session token, both ways. */
+/** Request and response header that carries a session token. */
 export const TOKEN_HEADER = 'x-session-token';
 
-/** Header with a session id of the caller's own. */
+/** Request header with a session id that the caller chose. */
 export const SESSION_HEADER = 'x-session-id';
 
-/** Longest session id that a caller may choose. */
+/** Maximum length of such a session id. */
 const MAX_SESSION_ID = 256;
 
 /** The session of one request. */
 export interface RequestSession {
   readonly id: string;
-  /** Whether the caller chose the id, so that it may come without a token. */
+  /** Whether the caller chose the id; its pins are then also stored. */
   readonly isCallerChosen: boolean;
   readonly pins: sessionToken.SessionPins;
 }
@@ -35,13 +35,13 @@
 ): purify.Either<apiError.ApiError, RequestSession> =>
   purify.Left({code: 'invalid_session', ran: 'not_run', message});
 
-/** Life of a session's token in seconds, as the document says. */
+/** Lifetime of session tokens in seconds, from the document or the default. */
 export const getTokenLifetimeS = (document: configuration.Document): number =>
   document.sessions === undefined
     ? sessionToken.DEFAULT_TOKEN_LIFETIME_S
     : Math.ceil(document.sessions.tokenMaxAgeMs / 1000);
 
-/** Reads the session of a request; a new one when it names none. */
+/** Reads the session of a request; creates one if the request names none. */
 export const readSession = (
   dependencies: entryDependencies.EntryDependencies,
   request: hapi.Request,
@@ -71,13 +71,13 @@
     : purify.Right({id: callerSessionId, isCallerChosen: true, pins: {}});
 };
 
-/** Versions of a plan's stages, and the pins that the session keeps. */
+/** Versions of a plan's stages, and the session's pins for the next token. */
 export interface PlanVersions {
   readonly byModel: ReadonlyMap<string, string>;
   readonly pins: sessionToken.SessionPins;
 }
 
-/** Chooses the version of each stage once, before the request runs. */
+/** Chooses the version of each stage before the request is admitted. */
 export const chooseVersions = async (
   dependencies: entryDependencies.EntryDependencies,
   workspace: string,
@@ -135,12 +135,14 @@
 };
 
 /**
- * The version that a stage starts on, by the configuration in force now.
+ * Checks the chosen version of a stage against the active configuration when
+ * the stage starts.
  *
- * Guards against a change while the request waited for admission or ran an
- * earlier stage: a version withdrawn or forbidden meanwhile would get new work
- * for as long as requests may wait. Undefined when none may take it, also when
- * this instance may start no work at all.
+ * Otherwise a version that was withdrawn or forbidden while the request waited
+ * for admission, or ran an earlier stage, would still get new work.
+ *
+ * @returns the version to use; undefined if no version may take the stage, or
+ *   this instance has no active configuration
  */
 export const confirmVersion = (
   activeConfiguration: entryDependencies.ActiveConfiguration | undefined,
--- a/packages/entry/src/entry-dependencies.ts
+++ b/packages/entry/src/entry-dependencies.ts
@@ -1,4 +1,4 @@
-/** What the caller-facing server is built from; the wiring passes it in. */
+/** Dependencies and settings of the caller-facing server. */
 import type * as crypto from 'node:crypto';
 import type * as configuration from '@amaranthknot/configuration';
 import type * as decisions from '@amaranthknot/decisions';
@@ -10,7 +10,7 @@
 import type * as chatRunner from './chat-runner.js';
 import type * as rolloutCounters from './rollout-counters.js';
 
-/** The configuration that this instance works by. */
+/** The configuration that requests are accepted by. */
 export interface ActiveConfiguration {
   readonly environment: string;
   readonly generation: number;
@@ -24,38 +24,41 @@
   readonly zone: string;
 }
 
-/** Bounds of the caller-facing server. */
+/** Limits of the caller-facing server. */
 export interface EntryLimits {
   readonly maxBodyBytes: number;
   readonly maxHeaderBytes: number;
-  /** Longest time for a request's head, in milliseconds. */
+  /** Timeout of a request's head, in milliseconds. */
   readonly headerTimeoutMs: number;
   readonly requestTimeoutMs: number;
-  /** How long callers may keep an answer of `/v1/entry-instances`. */
+  /** Cache lifetime of answers of `/v1/entry-instances`, in milliseconds. */
   readonly addressMaxAgeMs: number;
-  /** Longest wait for requests in progress at a planned stop. */
+  /** Time that a graceful stop waits for requests, in milliseconds. */
   readonly stopGraceMs: number;
 }
 
-/** An answer that a caller got. */
+/** A complete answer with its text, as offered for rating. */
 export interface DeliveredAnswer {
   readonly call: chatRunner.ChatCall;
   readonly answer: chatRunner.ChatAnswer;
   readonly text: string;
 }
 
-/** Where one attempt of a chat stage may run. */
+/**
+ * Chooses an upstream for one attempt of a chat stage, none of `tried`;
+ * undefined if there is none.
+ */
 export type StagePlacer = (
   run: chatRunner.StageRun,
   tried: readonly string[],
 ) => upstreams.Placement | undefined;
 
-/** Where a plain service may be called; undefined when nowhere. */
+/** Chooses an upstream of a plain service; undefined if there is none. */
 export type ServicePlacer = (
   service: string,
 ) => upstreams.Placement | undefined;
 
-/** Everything the server needs. */
+/** Dependencies and settings of an `EntryServer`. */
 export interface EntryDependencies {
   readonly instanceId: string;
   readonly listen: {readonly host: string; readonly port: number};
@@ -67,18 +70,20 @@
   readonly sessionKey: crypto.KeyObject;
   readonly operatorDigest: string;
   readonly innerKey: string;
-  /** Undefined until a first configuration, or when it is too old to act on. */
+  /** Undefined before the first configuration and when it is too old to use. */
   readonly activeConfiguration: () => ActiveConfiguration | undefined;
-  /** Addresses for callers, best first; never this one when it is leaving. */
+  /**
+   * Addresses for callers, best first; without this instance while it leaves.
+   */
   readonly listAddresses: (zone?: string) => readonly EntryAddress[];
   readonly admission: admissionController.AdmissionController;
   readonly cascades: decisions.CascadePolicy;
-  /** Version that a roll-out gives to a session that has none. */
+  /** Version that a roll-out assigns to a session without a pin. */
   readonly assignVersion: (
     model: string,
     sessionKey: string,
   ) => string | undefined;
-  /** Version that a caller's own session id keeps, or takes from now on. */
+  /** Pins a session with a caller's own id; returns an earlier pin if any. */
   readonly pinVersion: (
     workspace: string,
     sessionId: string,
@@ -89,7 +94,7 @@
   readonly placeService: ServicePlacer;
   readonly openEngine: upstreams.OpenEngineStream;
   readonly callService: upstreams.ServiceClient;
-  /** Notes a first attempt, which earns a part of a retry. */
+  /** Records a first attempt, which adds to the retry budget. */
   readonly recordAttempt: (model: string) => void;
   readonly mayRetry: (model: string) => boolean;
   readonly claims: ledger.ClaimLedger;
@@ -97,15 +102,15 @@
   readonly events: telemetry.EventRing;
   readonly metrics: telemetry.Metrics;
   readonly logger: telemetry.Logger;
-  /** Answers a message of another entry instance. */
+  /** Handles a message from another entry instance; returns the answer. */
   readonly handlePeer: (text: string) => Promise<string>;
-  /** State for operators, as JSON. */
+  /** State of this instance for operators; sent as JSON. */
   readonly describeState: () => object;
-  /** Notes an answer that was given, so that some of them are rated. */
+  /** Offers an answer to the sampler of answers for rating. */
   readonly offerForRating: (answer: DeliveredAnswer) => void;
-  /** Notes that an upstream refused as in cold start. */
+  /** Records that an upstream refused an attempt because it is cold. */
   readonly recordColdRefusal: (upstream: string) => void;
-  /** Counts what a version did, for a roll-out that may be about it. */
+  /** Counts an observation of a version that a roll-out may concern. */
   readonly recordObservation: (
     model: string,
     version: string,
--- a/packages/entry/src/entry-server.ts
+++ b/packages/entry/src/entry-server.ts
@@ -1,4 +1,4 @@
-/** The caller-facing server of one entry instance. */
+/** The HTTP server of one entry instance. */
 import * as hapi from '@hapi/hapi';
 import * as protocol from '@amaranthknot/protocol';
 import * as authenticate from './authenticate.js';
@@ -10,13 +10,14 @@
 import * as resolvePlan from './resolve-plan.js';
 import * as serviceRoutes from './service-routes.js';
 
-/** Serves callers, operators and peers. */
+/** Routes the requests of callers, operators and peers. */
 export class EntryServer {
   private readonly server: hapi.Server;
   private readonly chat: chatRoutes.ChatRoutes;
   private readonly services: serviceRoutes.ServiceRoutes;
   private leaving = false;
   private isOpen = false;
+  /** Number of callers' requests in progress. */
   private active = 0;
 
   constructor(
@@ -34,14 +35,14 @@
       port: dependencies.listen.port,
       routes: {
         payload: {maxBytes: dependencies.limits.maxBodyBytes},
-        // A part of an answer must not pass for the whole, and a range that
-        // is none must not refuse a request after it ran.
+        // A partial answer must not be taken for a complete one, and an invalid
+        // range must not turn an answer into a refusal after the request ran.
         response: {ranges: false},
       },
-      // gzip would hold back streamed tokens until its buffer is full: callers
-      // that accept it, as most libraries do, saw the whole answer at once.
+      // gzip would buffer streamed tokens: callers that accept gzip, as most
+      // libraries do, would get the whole answer at once.
       compression: false,
-      // Errors of our own carry a code; hapi's log would be a second one.
+      // `formatBoomError` logs errors; hapi would log them a second time.
       debug: false,
     });
     listener.handleClientErrors();
@@ -55,7 +56,7 @@
     this.addOperatorRoutes();
   }
 
-  /** Port once started. */
+  /** Port that the started server listens on. */
   get port(): number {
     return Number(this.server.info.port);
   }
@@ -65,24 +66,24 @@
   }
 
   /**
-   * Says that this instance is ready: it knows its upstreams. Peers are answered
-   * before.
+   * Lets `/readyz` report ready, once this instance knows its upstreams. Peers
+   * are answered before.
    */
   open(): void {
     this.isOpen = true;
   }
 
-  /** Says that this instance leaves; it goes on serving. */
+  /** Lets `/readyz` report not ready; requests are still served. */
   leave(): void {
     this.leaving = true;
   }
 
-  /** Requests of callers in progress. */
+  /** Number of callers' requests in progress. */
   get inProgress(): number {
     return this.active;
   }
 
-  /** Stops listening; waits for requests in progress within the grace. */
+  /** Stops listening; waits up to `stopGraceMs` for requests in progress. */
   async stop(): Promise<void> {
     await this.server.stop({timeout: this.dependencies.limits.stopGraceMs});
   }
@@ -202,7 +203,7 @@
     ]);
   }
 
-  /** Counts requests in progress until their last byte is sent. */
+  /** Counts a request as in progress until its response is closed. */
   private track(
     request: hapi.Request,
     handle: () => Promise<hapi.ResponseObject>,
--- a/packages/entry/src/format-completion.ts
+++ b/packages/entry/src/format-completion.ts
@@ -1,7 +1,7 @@
-/** Answers in the shapes that OpenAI clients read. */
+/** Formats answers, plain and streamed, as OpenAI clients read them. */
 import type * as chatRunner from './chat-runner.js';
 
-/** What all chunks of one answer share. */
+/** Fields that all chunks of one answer share. */
 export interface CompletionIdentity {
   readonly requestId: string;
   /** Seconds since the epoch. */
@@ -17,7 +17,7 @@
   total_tokens: answer.tokens,
 });
 
-/** The body of a plain answer. */
+/** Body of an answer that is not streamed. */
 export const formatCompletion = (
   identity: CompletionIdentity,
   answer: chatRunner.ChatAnswer,
@@ -38,14 +38,14 @@
   usage: usageOf(answer),
 });
 
-/** One server-sent event. */
+/** Formats one server-sent event. */
 export const formatEvent = (data: unknown): string =>
   `data: ${JSON.stringify(data)}\n\n`;
 
-/** End of a stream whose answer is whole; no other stream ends with it. */
+/** Last event of a complete answer; incomplete streams end without it. */
 export const END_OF_STREAM = 'data: [DONE]\n\n';
 
-/** The event of one token. */
+/** Event of one token; the first one also carries the role. */
 export const formatToken = (
   identity: CompletionIdentity,
   token: {model: string; version: string; text: string},
@@ -67,7 +67,7 @@
     ],
   });
 
-/** The events after the last token. */
+/** Events after the last token: finish reason, usage if asked for, `[DONE]`. */
 export const formatEnd = (
   identity: CompletionIdentity,
   answer: chatRunner.ChatAnswer,
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** The caller-facing server. */
+/** The caller-facing server and what it decides by. */
 export * from './admission-controller.js';
 export * from './api-error.js';
 export * from './authenticate.js';
--- a/packages/entry/src/input-errors.ts
+++ b/packages/entry/src/input-errors.ts
@@ -1,24 +1,24 @@
-/** Errors of input that no handler of ours sees, in our shape. */
+/** Converts errors that hapi raises itself to the API's error format. */
 import type * as hapi from '@hapi/hapi';
 import * as protocol from '@amaranthknot/protocol';
 import type * as apiError from './api-error.js';
 import type * as entryDependencies from './entry-dependencies.js';
 import * as requestContext from './request-context.js';
 
-/** Largest message between entry instances, in bytes. */
+/** Maximum size of a message between entry instances, in bytes. */
 export const MAX_PEER_BODY_BYTES = 8 * 1024 * 1024;
 
 /**
- * Refuses a body by its announced length. hapi would first read all of it,
- * so that a caller which never sends it would never be answered.
+ * Refuses a body by its `content-length`. hapi would first read the whole body,
+ * so that a caller that never sends it would never get an answer.
  */
 export const refuseOversizedBody = (
   dependencies: entryDependencies.EntryDependencies,
   request: hapi.Request,
   h: hapi.ResponseToolkit,
 ): hapi.ResponseObject | symbol => {
-  const isPeers = request.path === protocol.INNER_PATH;
-  const maxBytes = isPeers
+  const isPeerMessage = request.path === protocol.INNER_PATH;
+  const maxBytes = isPeerMessage
     ? MAX_PEER_BODY_BYTES
     : dependencies.limits.maxBodyBytes;
   const length = Number(request.headers['content-length'] ?? 0);
@@ -33,7 +33,9 @@
     .takeover();
 };
 
-/** Gives hapi's own errors, such as a body too large, our shape. */
+/**
+ * Formats hapi's own errors, such as a malformed path; logs internal errors.
+ */
 export const formatBoomError = (
   dependencies: entryDependencies.EntryDependencies,
   request: hapi.Request,
@@ -44,14 +46,20 @@
     return h.continue;
   }
   const status = response.output.statusCode;
-  const isOurs = status >= 500;
-  if (isOurs) {
+  const isInternal = status >= 500;
+  if (isInternal) {
     const {message, stack} = response;
-    dependencies.logger.error('request failed', {message, stack});
+    dependencies.logger.error(
+      'request handler failed; answering internal, ran unknown',
+      {
+        message,
+        stack,
+      },
+    );
   }
-  // hapi refuses a body or path before any handler of ours runs; a failure
-  // inside a handler may have come after the work began.
-  const error: apiError.ApiError = isOurs
+  // hapi refuses a body or path before a handler runs; a handler may fail after
+  // the request was sent to an upstream.
+  const error: apiError.ApiError = isInternal
     ? {code: 'internal', ran: 'unknown', message: 'internal error'}
     : {
         code: 'invalid_request',
--- a/packages/entry/src/listener.ts
+++ b/packages/entry/src/listener.ts
@@ -1,22 +1,22 @@
 /**
- * The HTTP listener under the server: bounds what a caller may send before any
- * handler sees it, and gives what the parser refuses our shape of error.
+ * The HTTP listener of the server: limits the size and duration of a request
+ * before a handler runs, and answers parser errors in the API's error format.
  */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 import * as apiError from './api-error.js';
 
-/** Bounds of what a caller sends. */
+/** Limits on the head of a request. */
 export interface ListenerLimits {
   readonly maxHeaderBytes: number;
-  /** Longest time for the head, in milliseconds. */
+  /** Timeout of the head, in milliseconds. */
   readonly headerTimeoutMs: number;
 }
 
-/** Time in milliseconds a slow caller may take to send its body. */
+/** Time that a slow caller may take to send a body, in milliseconds. */
 export const BODY_TIMEOUT_MS = 10_000;
 
-/** How often slow callers are looked for, at most, in milliseconds. */
+/** Maximum interval of checks for timed-out requests, in milliseconds. */
 const MAX_CHECK_INTERVAL_MS = 1_000;
 
 interface ParserError {
@@ -50,7 +50,7 @@
   return `${head.join('\r\n')}\r\n\r\n${body}`;
 };
 
-/** A listener, and what it does about requests that the parser refuses. */
+/** An HTTP server that answers requests which the parser refuses. */
 export class Listener {
   readonly server: http.Server;
   private readonly activeRequests = new WeakMap<
@@ -71,7 +71,7 @@
         headerTimeoutMs,
         MAX_CHECK_INTERVAL_MS,
       ),
-      // Node.js would answer a request without `host` itself, without a body.
+      // Otherwise Node.js refuses requests without `host` with an empty body.
       requireHostHeader: false,
     });
     this.server.on('request', (request, response) =>
@@ -82,7 +82,9 @@
     );
   }
 
-  /** Answers refusals itself; call it when a framework has added its own. */
+  /**
+   * Replaces the `clientError` handler; call it after hapi has added its own.
+   */
   handleClientErrors(): void {
     this.server.removeAllListeners('clientError');
     this.server.on('clientError', (error: ParserError, socket) =>
@@ -104,9 +106,10 @@
   }
 
   /**
-   * A refusal may meet a connection on which an earlier, whole request still
-   * runs: its caller would take the refusal, which says `not_run`, for the
-   * answer to that one. Such a connection is closed without an answer.
+   * Refuses a malformed request. If an earlier, complete request on the same
+   * connection may still be running, the connection is closed without an
+   * answer: the caller would take the refusal, which says `not_run`, for the
+   * answer to the earlier request.
    */
   private refuse(code: string, socket: net.Socket): void {
     const mayRun = this.activeRequests.get(socket)?.complete ?? false;
--- a/packages/entry/src/pin-registry.ts
+++ b/packages/entry/src/pin-registry.ts
@@ -1,7 +1,7 @@
 /**
- * Versions of sessions whose callers send only an id of their own. The first
- * instance that sees such a session creates an object with its version; every
- * other reads it. Tokens need none of this.
+ * Pins versions to sessions for which callers send an id of their own instead
+ * of a session token. The first instance that sees such a session creates an
+ * object with its version; all others read it.
  */
 import * as crypto from 'node:crypto';
 import * as lruCache from 'lru-cache';
@@ -10,7 +10,7 @@
 /** Kind of pin objects in the object API. */
 export const PIN_KIND = 'session_pin';
 
-/** Pins remembered by one instance: about 10 MB. */
+/** Maximum number of pins cached by one instance; they take about 10 MB. */
 const MAX_CACHED_PINS = 50_000;
 
 const nameOf = (workspace: string, sessionId: string, model: string): string =>
@@ -24,7 +24,7 @@
   return typeof version === 'string' ? version : undefined;
 };
 
-/** Keeps the versions of callers' own sessions. */
+/** Creates and reads pins, with a cache. */
 export class PinRegistry {
   private readonly cache = new lruCache.LRUCache<string, string>({
     max: MAX_CACHED_PINS,
@@ -33,9 +33,9 @@
   constructor(private readonly store: ports.ObjectStore) {}
 
   /**
-   * The version that a session keeps; `version` when it has none yet. In an
-   * outage of the platform it answers `version`, which every instance derives
-   * alike from the same configuration, and asks again next time.
+   * Pins a session to `version` unless it is pinned already; returns the pinned
+   * version. During a platform outage it returns `version`, which all instances
+   * derive alike from the same configuration, and does not cache it.
    */
   async pin(
     workspace: string,
--- a/packages/entry/src/prepare-chat.ts
+++ b/packages/entry/src/prepare-chat.ts
@@ -1,4 +1,6 @@
-/** Everything that is settled about a chat request before it is admitted. */
+/**
+ * Steps of a chat request before admission, from authentication to versions.
+ */
 import type * as hapi from '@hapi/hapi';
 import type * as purify from 'purify-ts';
 import * as ledger from '@amaranthknot/ledger';
@@ -10,7 +12,7 @@
 import * as requestContext from './request-context.js';
 import * as resolvePlan from './resolve-plan.js';
 
-/** A request that is ready to be admitted. */
+/** A chat request that is ready for admission. */
 export interface PreparedChat {
   readonly context: requestContext.RequestContext;
   readonly call: chatRunner.ChatCall;
@@ -21,7 +23,10 @@
 
 type Preparation = purify.Either<apiError.ApiError, PreparedChat>;
 
-/** Authenticates, parses, resolves and fixes the versions of a request. */
+/**
+ * Authenticates and parses a request, resolves its plan and session, and
+ * chooses its versions. Refuses at once while no bills may be accepted.
+ */
 export const prepareChat = async (
   dependencies: entryDependencies.EntryDependencies,
   request: hapi.Request,
--- a/packages/entry/src/rating-sampler.ts
+++ b/packages/entry/src/rating-sampler.ts
@@ -1,11 +1,11 @@
 /**
- * Sends a sample of answers to the rating service and hands out the ratings
- * when they come. An answer whose rating never comes is forgotten.
+ * Sends a sample of the answers to the rating service and reports their ratings
+ * when they arrive. Answers that are never rated are evicted.
  */
 import * as lruCache from 'lru-cache';
 import type * as ports from '@amaranthknot/ports';
 
-/** What is remembered of a sampled answer until its rating comes. */
+/** Properties of a sampled answer, kept until its rating arrives. */
 export interface SampledAnswer {
   readonly workspace: string;
   readonly task: string;
@@ -18,25 +18,25 @@
   readonly target: number;
 }
 
-/** What the desk works with. */
+/** Dependencies and settings of a `RatingSampler`. */
 export interface RatingSamplerOptions {
   readonly service: ports.RatingService;
-  /** Names this start of this instance. */
+  /** Incarnation of this instance; ratings are collected under this name. */
   readonly source: string;
   readonly random: () => number;
   readonly onRating: (answer: SampledAnswer, rating: number) => void;
 }
 
-/** Answers that wait for their rating: about 3 MB. */
+/** Maximum number of answers without a rating; they take about 3 MB. */
 const MAX_UNRATED_ANSWERS = 10_000;
 
-/** Answers that wait to be sent; past it, as in an outage, the oldest go. */
+/** Maximum number of unsent samples; in an outage the oldest are dropped. */
 const MAX_QUEUED_SAMPLES = 200;
 
-/** Largest part of an answer or prompt that is sent, in characters. */
+/** Characters to which a prompt or answer is truncated for rating. */
 const MAX_TEXT_LENGTH = 8_192;
 
-/** Samples answers and hands out their ratings. */
+/** Samples answers, and reports their ratings to `onRating`. */
 export class RatingSampler {
   private readonly unrated = new lruCache.LRUCache<string, SampledAnswer>({
     max: MAX_UNRATED_ANSWERS,
@@ -46,7 +46,7 @@
 
   constructor(private readonly options: RatingSamplerOptions) {}
 
-  /** Takes an answer with the given chance, 0 to 1. */
+  /** Samples an answer with probability `sampleRate`, 0 to 1. */
   offer(
     sampleRate: number,
     answer: SampledAnswer,
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Sends what waits and hands out what has come. */
+  /** Submits queued samples and collects new ratings. */
   async exchange(): Promise<void> {
     const {service, source} = this.options;
     if (this.queue.length > 0) {
--- a/packages/entry/src/recorded-answer.ts
+++ b/packages/entry/src/recorded-answer.ts
@@ -1,10 +1,10 @@
-/** A service's answer as a claim keeps it for retries of the caller. */
+/** Encodes a service's answer as text, to be stored in a claim for retries. */
 import type * as upstreams from '@amaranthknot/upstreams';
 
-/** Text answers are recorded as they are, others as base64 behind a mark. */
+/** Prefix of answers that are not valid UTF-8; others are stored as text. */
 const BASE64_MARK = 'base64:';
 
-/** Writes a service's answer as the text that a claim keeps. */
+/** Encodes the content type and body; the status is stored beside the text. */
 export const encodeAnswer = (answer: upstreams.ServiceAnswer): string => {
   const text = answer.body.toString('utf8');
   const isText = Buffer.from(text, 'utf8').equals(answer.body);
@@ -14,7 +14,7 @@
   return `${answer.contentType}\n${body}`;
 };
 
-/** Reads what `encodeAnswer` wrote. */
+/** Decodes what `encodeAnswer` returned. */
 export const decodeAnswer = (
   status: number,
   recorded: string,
--- a/packages/entry/src/request-context.ts
+++ b/packages/entry/src/request-context.ts
@@ -1,4 +1,6 @@
-/** What every caller request has: identity, workspace, and its cancellation. */
+/**
+ * Context of a caller's request: id, workspace, configuration, cancellation.
+ */
 import type * as hapi from '@hapi/hapi';
 import * as purify from 'purify-ts';
 import type * as configuration from '@amaranthknot/configuration';
@@ -11,14 +13,14 @@
   readonly requestId: string;
   readonly workspace: configuration.Workspace;
   readonly activeConfiguration: entryDependencies.ActiveConfiguration;
-  /** Aborts when the caller goes away or the request's time is up. */
+  /** Aborts when the caller disconnects or the request times out. */
   readonly signal: AbortSignal;
 }
 
-/** Time until a caller is asked back when there is no configuration. */
+/** Mean retry time while there is no active configuration, in milliseconds. */
 const NOT_READY_RETRY_MS = 2_000;
 
-/** The value of a header that must occur once. */
+/** Value of a header; undefined if it is absent or empty. */
 export const readHeader = (
   request: hapi.Request,
   name: string,
@@ -28,10 +30,10 @@
 };
 
 /**
- * Aborts when the caller's connection closes before the answer's end, or when
- * the request's time is up. One timer, cleared at the answer's end: a signal
- * of `AbortSignal.timeout` and one that joins both would outlive each request
- * by two minutes, at 200 requests/s 48,000 of them.
+ * Creates a signal that aborts when the connection closes before the end of the
+ * answer, or after `timeoutMs`. It uses one timer, cleared at the end of the
+ * answer: `AbortSignal.timeout` and a signal that combines both would outlive
+ * each request by two minutes, which is 48,000 signals at 200 requests/s.
  */
 export const createCancellationSignal = (
   request: hapi.Request,
@@ -49,7 +51,7 @@
   return ended.signal;
 };
 
-/** Authenticates a caller's request against the configuration in force. */
+/** Authenticates a caller's request by the active configuration. */
 export const createContext = (
   dependencies: entryDependencies.EntryDependencies,
   request: hapi.Request,
@@ -89,7 +91,7 @@
   });
 };
 
-/** Admits a request of a workspace at its priority and within its limits. */
+/** Waits for admission at the workspace's priority and within its limits. */
 export const admit = (
   dependencies: entryDependencies.EntryDependencies,
   context: RequestContext,
@@ -111,7 +113,7 @@
   );
 };
 
-/** Answers a request with an error. */
+/** Answers with an error and its headers. */
 export const replyError = (
   h: hapi.ResponseToolkit,
   error: apiError.ApiError,
@@ -127,7 +129,7 @@
       apiError.formatRetryAfter(error.retryAfterMs),
     );
   }
-  // A caller's library must not repeat what may have run already.
+  // Client libraries must not retry a request that may have run.
   if (error.ran !== 'not_run') {
     response.header('x-should-retry', 'false');
   }
--- a/packages/entry/src/resolve-plan.ts
+++ b/packages/entry/src/resolve-plan.ts
@@ -1,16 +1,20 @@
-/** What a request asks for, as the stages its workspace allows. */
+/**
+ * Resolves the `model` field of a request to stages that its workspace allows.
+ */
 import * as purify from 'purify-ts';
 import * as configuration from '@amaranthknot/configuration';
 import type * as apiError from './api-error.js';
 
-/** One stage: a model, and the versions that rules and request leave. */
+/**
+ * One stage: a model, and its versions that the rules and the request allow.
+ */
 export interface PlanStage {
   readonly model: configuration.Model;
-  /** At least one; withdrawn ones included, whose successor takes over. */
+  /** At least one; may be withdrawn, in which case its successor is used. */
   readonly versions: readonly string[];
 }
 
-/** A resolved request. */
+/** What a `model` field resolves to: a cascade's stages, or one model. */
 export interface Plan {
   readonly name: string;
   readonly stages: readonly PlanStage[];
@@ -18,7 +22,7 @@
 
 type Resolution = purify.Either<apiError.ApiError, Plan>;
 
-/** Names that ask for the workspace's own cascade. */
+/** Names that stand for the workspace's default cascade. */
 const DEFAULT_NAMES: readonly string[] = ['', 'auto', 'default'];
 
 const refuse = (
@@ -30,7 +34,7 @@
 const notFound = (name: string): Resolution =>
   refuse('model_not_found', `no model or cascade ${name} for this workspace`);
 
-/** Stages that the rules leave; one without an allowed version is skipped. */
+/** Resolves a cascade; stages without an allowed version are left out. */
 const resolveCascade = (
   document: configuration.Document,
   workspace: configuration.Workspace,
@@ -52,8 +56,8 @@
 };
 
 /**
- * A model that exists but is not allowed answers as an unknown one, so that a
- * workspace cannot list what others use.
+ * Resolves a model. One that exists but is not allowed is refused like an
+ * unknown one, so that a workspace cannot find out what others use.
  */
 const resolveModel = (
   document: configuration.Document,
@@ -90,37 +94,37 @@
     : resolveModel(document, workspace, name);
 };
 
-type Resolved = Map<string, Resolution>;
+type PlanCache = Map<string, Resolution>;
 
-const resolved = new WeakMap<configuration.Document, Resolved>();
+const planCaches = new WeakMap<configuration.Document, PlanCache>();
 
-const findResolved = (document: configuration.Document): Resolved => {
-  const known = resolved.get(document);
+const getPlanCache = (document: configuration.Document): PlanCache => {
+  const known = planCaches.get(document);
   if (known) {
     return known;
   }
-  const created: Resolved = new Map();
-  resolved.set(document, created);
+  const created: PlanCache = new Map();
+  planCaches.set(document, created);
   return created;
 };
 
 /**
- * Resolves the `model` field of a request for a workspace, once for each
- * configuration in force. Refusals are not kept: callers choose the names, and
- * would fill the memory with them.
+ * Resolves the `model` field of a request for a workspace. Plans are cached per
+ * document; refusals are not, as callers choose the names and could fill the
+ * memory with them.
  */
 export const resolvePlan = (
   document: configuration.Document,
   workspace: configuration.Workspace,
   requested: string,
 ): Resolution => {
-  const known = findResolved(document);
+  const cache = getPlanCache(document);
   const key = `${workspace.name}/${requested}`;
-  const found = known.get(key);
+  const found = cache.get(key);
   if (found) {
     return found;
   }
   const resolution = resolveName(document, workspace, requested);
-  resolution.ifRight(() => known.set(key, resolution));
+  resolution.ifRight(() => cache.set(key, resolution));
   return resolution;
 };
--- a/packages/entry/src/rollout-counters.ts
+++ b/packages/entry/src/rollout-counters.ts
@@ -1,19 +1,21 @@
-/** Counts what this instance sees of the two versions of each roll-out. */
+/** Counts this instance's observations of the versions of each roll-out. */
 import type * as configuration from '@amaranthknot/configuration';
 import * as decisions from '@amaranthknot/decisions';
 
-/** Names a roll-out, so that a new one does not inherit old evidence. */
+/** Name of a roll-out; a new one must not inherit the evidence of another. */
 export const nameRollout = (rollout: configuration.Rollout): string =>
   `${rollout.model}.${rollout.from}.${rollout.to}`;
 
-/** One observation about a version. */
+/** Counts to add to the evidence on a version. */
 export type VersionObservation = Partial<decisions.VersionCounts>;
 
 /** Evidence of one instance, by roll-out. */
 export class RolloutCounters {
   private readonly evidence = new Map<string, decisions.RolloutEvidence>();
 
-  /** Counts a sign for the version if a roll-out is about it. */
+  /**
+   * Counts an observation if the version is the old or new one of a roll-out.
+   */
   count(
     rollouts: readonly configuration.Rollout[],
     model: string,
@@ -33,7 +35,7 @@
     this.evidence.set(name, after);
   }
 
-  /** What was counted for a roll-out. */
+  /** Evidence counted for a roll-out since this instance started. */
   read(name: string): decisions.RolloutEvidence {
     return this.evidence.get(name) ?? decisions.NO_EVIDENCE;
   }
--- a/packages/entry/src/rollout-driver.ts
+++ b/packages/entry/src/rollout-driver.ts
@@ -1,7 +1,7 @@
 /**
- * Drives one roll-out while this instance holds its lease: pools the evidence
- * of all instances, lets the guard decide, and writes the decision where every
- * instance reads it. Any instance resumes from that object.
+ * Drives one roll-out while this instance holds its lease: collects the
+ * evidence of all instances, evaluates it, and writes the decision to an object
+ * that all instances read and that the next holder resumes from.
  */
 import type * as configuration from '@amaranthknot/configuration';
 import * as decisions from '@amaranthknot/decisions';
@@ -18,14 +18,14 @@
   readonly fencing: number;
 }
 
-/** The right to drive, as the lease gives it. */
+/** A term of the lease under which this instance drives the roll-out. */
 export interface TaskTerm {
   readonly fencing: number;
   mayAct(): boolean;
   readonly signal: AbortSignal;
 }
 
-/** What a driver works with. */
+/** Dependencies and settings of `driveRollout`. */
 export interface RolloutDriverDependencies {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
@@ -33,7 +33,7 @@
   readonly collectEvidence: (
     name: string,
   ) => Promise<decisions.EvidenceByInstance>;
-  /** Withdraws the new version in the configuration in force. */
+  /** Withdraws the new version in the configuration; whether that succeeded. */
   readonly withdraw: (rollout: configuration.Rollout) => Promise<boolean>;
   readonly notify: (
     kind: 'rollout_step' | 'rollout_stopped',
@@ -42,15 +42,15 @@
   ) => void;
 }
 
-/** Time between two looks, in milliseconds. */
+/** Time between two evaluations, in milliseconds. */
 export const EVALUATION_INTERVAL_MS = 1_000;
 
-/** How late ratings are taken to be, in seconds, before any is measured. */
+/** Assumed delay of ratings, in seconds. */
 const RATING_DELAY_S = 5;
 
 interface VersionedState {
   readonly stored: StoredRollout;
-  /** Version of the object; 0 when there is none yet. */
+  /** Version of the object; 0 if it does not exist. */
   readonly version: number;
 }
 
@@ -60,7 +60,7 @@
   rollout: configuration.Rollout,
 ): string => `${environment}.${rolloutCounters.nameRollout(rollout)}`;
 
-/** Reads the state; undefined when the platform does not answer. */
+/** Reads the state, or an initial one; undefined if the platform fails. */
 const readState = async (
   dependencies: RolloutDriverDependencies,
   name: string,
@@ -105,7 +105,7 @@
     0,
   );
 
-/** Looks once; says whether the roll-out goes on. */
+/** Evaluates the roll-out once; returns whether to continue driving it. */
 const evaluate = async (
   dependencies: RolloutDriverDependencies,
   rollout: configuration.Rollout,
@@ -128,8 +128,8 @@
     requestRate: Math.max(0, newRequests) / seconds,
     ratingDelay: RATING_DELAY_S,
   });
-  // A holder that lost its lease while it collected must not write; the
-  // object's version refuses it too if it is paused right here.
+  // A holder that lost its lease while it collected evidence must not write. If
+  // it is paused after this check, the object's version refuses its write.
   if (!term.mayAct() || current.stored.fencing > term.fencing) {
     return false;
   }
@@ -147,7 +147,7 @@
   return true;
 };
 
-/** Drives a roll-out until it is stopped or the term ends. */
+/** Evaluates a roll-out repeatedly until it is stopped or the term ends. */
 export const driveRollout = async (
   dependencies: RolloutDriverDependencies,
   rollout: configuration.Rollout,
--- a/packages/entry/src/rollout-shares.ts
+++ b/packages/entry/src/rollout-shares.ts
@@ -1,21 +1,21 @@
-/** The share of new sessions that each running roll-out has now. */
+/** Share of new sessions that each roll-out assigns to its new version. */
 import type * as configuration from '@amaranthknot/configuration';
 import * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
 import * as rolloutCounters from './rollout-counters.js';
 import * as rolloutDriver from './rollout-driver.js';
 
-/** Time between two readings, in milliseconds. */
+/** Time between two reads of the shares, in milliseconds. */
 export const SHARES_INTERVAL_MS = 1_000;
 
 /**
- * Age past which a share counts as 0 for new sessions, in milliseconds. While
- * the guard cannot be heard, as in a platform outage, a bad version could not
- * be stopped; its sessions of before keep it, new ones get the old version.
+ * Age from which a share counts as 0 for new sessions, in milliseconds. Without
+ * current shares, as in a platform outage, a bad version could not be stopped.
+ * Sessions that have the new version keep it; new ones get the old version.
  */
 const MAX_SHARE_AGE_MS = 10_000;
 
-/** Reads and remembers the shares. */
+/** Reads and caches the shares of all roll-outs. */
 export class RolloutShares {
   private shares = new Map<string, number>();
   private readAt = Number.NEGATIVE_INFINITY;
@@ -25,7 +25,7 @@
     private readonly clock: ports.Clock,
   ) {}
 
-  /** Reads all states; called only while a roll-out is in the document. */
+  /** Reads all states; call it only while the document has a roll-out. */
   async refresh(environment: string): Promise<void> {
     const kind = rolloutDriver.ROLLOUT_KIND;
     const listing = await this.store.list(kind, `${environment}.`);
@@ -40,7 +40,7 @@
     });
   }
 
-  /** Share of new sessions for a roll-out, 0 to 1. */
+  /** Share of new sessions for a roll-out's new version, 0 to 1. */
   getShare(environment: string, rollout: configuration.Rollout): number {
     const isStale = this.clock.now() - this.readAt > MAX_SHARE_AGE_MS;
     if (isStale || rollout.state === 'withdrawn') {
@@ -50,7 +50,7 @@
     return this.shares.get(name) ?? 0;
   }
 
-  /** Version that a new session gets; undefined without a roll-out. */
+  /** Version for a new session; undefined if the model has no roll-out. */
   assign(
     environment: string,
     rollouts: readonly configuration.Rollout[],
--- a/packages/entry/src/select-version.ts
+++ b/packages/entry/src/select-version.ts
@@ -1,10 +1,10 @@
-/** Which version of a model a request runs on. */
+/** Selects the version of a model that a request runs on. */
 import type * as configuration from '@amaranthknot/configuration';
 
-/** What decides the version. */
+/** Input of `selectVersion`. */
 export interface VersionRequest {
   readonly model: configuration.Model;
-  /** Versions the workspace may use; undefined when any. */
+  /** Versions that the workspace may use; undefined allows all. */
   readonly allowed?: readonly string[];
   /** Version that the session keeps. */
   readonly pinned?: string;
@@ -19,9 +19,9 @@
   model.versions.find(version => version.name === name);
 
 /**
- * Follows successors from a withdrawn version to an active one. Every instance
- * reads the same document, so a session moves to the same successor
- * everywhere. The bound stops a cycle, which checking refuses anyway.
+ * Follows successors from a withdrawn version to an active one. All instances
+ * read the same document, so that they move a session to the same successor.
+ * The limit on hops stops at a cycle, which document checks refuse as well.
  */
 const followSuccessors = (
   model: configuration.Model,
@@ -38,8 +38,10 @@
 };
 
 /**
- * Selects the version: the session's own, else the roll-out's, else the
- * default; never a withdrawn one and never one that the rules do not allow.
+ * Selects the session's pinned version, else the roll-out's, else the default,
+ * else any allowed one; never a withdrawn version or one that the rules forbid.
+ *
+ * @returns undefined if no version may be used
  */
 export const selectVersion = (request: VersionRequest): string | undefined => {
   const {model, allowed} = request;
--- a/packages/entry/src/service-routes.ts
+++ b/packages/entry/src/service-routes.ts
@@ -1,7 +1,7 @@
 /**
- * `/services/NAME/...`: plain services, passed through. A call whose method is
- * not idempotent runs at most once: it is claimed before the first byte is
- * sent, and a retry under its key gets the recorded answer.
+ * Handles `/services/NAME/...`: passes calls through to plain services. A call
+ * whose method is not idempotent runs at most once: it is claimed before its
+ * first byte is sent, and a retry with its key gets the recorded answer.
  */
 import type * as hapi from '@hapi/hapi';
 import * as purify from 'purify-ts';
@@ -13,10 +13,10 @@
 import * as recordedAnswer from './recorded-answer.js';
 import * as requestContext from './request-context.js';
 
-/** Longest idempotency key that a caller may choose. */
+/** Maximum length of an idempotency key. */
 const MAX_KEY_LENGTH = 256;
 
-/** When to ask again after a call whose outcome is not known, in ms. */
+/** Retry time sent with failed calls, in milliseconds. */
 const RETRY_AFTER_MS = 2_000;
 
 /** A call of a plain service. */
@@ -46,13 +46,13 @@
     : {code: 'outcome_unknown', ran, message, retryAfterMs: RETRY_AFTER_MS};
 };
 
-/** Answers calls of plain services. */
+/** Route handler of plain services. */
 export class ServiceRoutes {
   constructor(
     private readonly dependencies: entryDependencies.EntryDependencies,
   ) {}
 
-  /** Handles one call. */
+  /** Authenticates, admits and runs one call, and answers it. */
   async handle(
     request: hapi.Request,
     h: hapi.ResponseToolkit,
@@ -83,8 +83,12 @@
           : await this.runOnce(call);
       return this.reply(h, call, answer);
     } catch (error) {
-      // A defect here must not say `not_run` of a call that may have run.
-      this.dependencies.logger.error('service call failed', {requestId, error});
+      // An internal error must not report `not_run` for a call that may have
+      // run.
+      this.dependencies.logger.error(
+        'service call handler failed; answering internal, ran unknown',
+        {requestId, error},
+      );
       const message = 'internal error';
       return this.reply(
         h,
@@ -97,8 +101,8 @@
   }
 
   /**
-   * Whether the call may still start after its wait: the rules may have
-   * changed, or this instance may have lost touch with the configuration.
+   * Whether the call may start after waiting for admission: the rules may have
+   * changed, or this instance may no longer have an active configuration.
    */
   private mayStart({context, service}: ServiceRequest): boolean {
     const workspace = this.dependencies
@@ -234,8 +238,8 @@
     const {status, ...rest} = answer.unsafeCoerce();
     const body = recordedAnswer.encodeAnswer({status, ...rest});
     // The bill comes first: once the answer is recorded, a retry on another
-    // instance may hand it out. Recorded with its bill at risk, an answer was
-    // handed out that nobody billed; unrecorded, the retry hears `unknown`.
+    // instance may get it. If it were recorded while its bill is at risk, that
+    // answer might never be billed. Without a record the retry gets `unknown`.
     const billed = await this.billAnswer(call, answer);
     if (billed.isRight()) {
       await claims.finish(claim, {kind: 'answer', status, body});
@@ -282,8 +286,8 @@
       upstream,
       detail: `${call.method} ${call.service.name}`,
     });
-    // A call that may not be repeated is not cut when its caller leaves: its
-    // answer is recorded for the caller's retry.
+    // A call that must not be repeated continues when its caller disconnects:
+    // its answer is recorded for the caller's retry.
     const signal = call.isIdempotent
       ? call.context.signal
       : new AbortController().signal;
--- a/packages/entry/src/session-token.ts
+++ b/packages/entry/src/session-token.ts
@@ -1,27 +1,27 @@
 /**
- * Session tokens: the first answer returns a token that carries the session's
- * versions, signed with a key that all instances hold, so that any instance
- * keeps a session on its version without shared state.
+ * Session tokens: each answer returns a token that carries the session's
+ * versions, signed with a key that all instances have. Any instance can then
+ * keep a session on its versions without shared state.
  */
 import type * as crypto from 'node:crypto';
 import * as jsonwebtoken from 'jsonwebtoken';
 import * as purify from 'purify-ts';
 import * as zod from 'zod';
 
-/** Versions that a session keeps, by model. */
+/** Versions that a session is pinned to, by model. */
 export type SessionPins = Readonly<Record<string, string>>;
 
-/** What a token says. */
+/** Contents of a token. */
 export interface Session {
   readonly workspace: string;
   readonly id: string;
   readonly pins: SessionPins;
 }
 
-/** Why a token is refused. */
+/** Reason for refusing a token; sent to callers. */
 export type SessionTokenError = 'malformed' | 'expired' | 'other_workspace';
 
-/** Life of a token in seconds: a working day and the night after it. */
+/** Lifetime of a token in seconds: a working day and the following night. */
 export const DEFAULT_TOKEN_LIFETIME_S = 24 * 60 * 60;
 
 const ALGORITHM = 'HS256';
@@ -34,8 +34,8 @@
 });
 
 /**
- * Signs a session. The key is a key object: of a string the library first
- * tries, at each request, whether it is a private key.
+ * Signs a token. The key is a key object, because the library would try on each
+ * request whether a string is a private key.
  */
 export const signSession = (
   session: Session,
@@ -49,8 +49,8 @@
   );
 
 /**
- * Reads a token that must belong to `workspace` and be at most `seconds` old,
- * also when it was signed for longer.
+ * Verifies a token, which must belong to `workspace` and be at most `lifetimeS`
+ * seconds old, even if it was signed for longer.
  */
 export const verifySession = (
   token: string,
--- a/packages/entry/src/upstream-directory.ts
+++ b/packages/entry/src/upstream-directory.ts
@@ -1,44 +1,46 @@
 /**
- * Which upstreams exist and which one gets the next attempt: the platform's
- * list and load reports on one side, the pure placement on the other.
+ * Knows the live upstreams and places attempts on them: feeds the platform's
+ * list and load reports to the placement, a pure decision.
  */
 import type * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
 import type * as upstreams from '@amaranthknot/upstreams';
 
-/** Slots of an upstream that has not reported any. */
+/** Slots assumed for an upstream without a load report. */
 const DEFAULT_SLOTS = 16;
 
-/** What an engine reports of itself. */
+/** Load that an engine reports. */
 export interface LoadReport {
   readonly inFlight: number;
   readonly slots: number;
-  /** How it warms up, where it tells. */
+  /** Warm-up curve and progress; absent if the engine reports none. */
   readonly warmUp?: {
     readonly coldSlots: number;
     readonly warmMs: number;
-    /** Time since it turned cold, in milliseconds. */
+    /** Time since it became cold, in milliseconds. */
     readonly ageMs: number;
   };
 }
 
-/** What the directory works with. */
+/** Dependencies of an `UpstreamDirectory`. */
 export interface UpstreamDirectoryOptions {
   readonly placement: decisions.Placement;
   readonly clock: ports.Clock;
-  /** Zones that a request must not use, drawn anew for each. */
+  /** Zones closed to one request; sampled per request by the zones' weights. */
   readonly sampleClosedZones: () => ReadonlySet<string>;
-  /** Zones that operators have taken out; never used. */
+  /** Zones that operators have taken out; no request may use them. */
   readonly excludedZones: () => ReadonlySet<string>;
-  /** Whether one more request fits an upstream that may be cold. */
+  /** Whether one more request may start on an upstream that may be cold. */
   readonly mayStart?: (upstreamId: string) => boolean;
 }
 
-/** What has to run, and with what it shares a prefix. */
+/** An attempt to place. */
 export interface UpstreamRequest {
   /** `model@version`, or the name of a plain service. */
   readonly target: string;
+  /** Equal for requests that share a prompt prefix. */
   readonly affinityKey?: string;
+  /** Upstreams that must not be chosen again. */
   readonly tried?: readonly string[];
 }
 
@@ -60,9 +62,9 @@
   constructor(private readonly options: UpstreamDirectoryOptions) {}
 
   /**
-   * Takes in the platform's list. An empty list is taken for a fault of the
-   * platform while upstreams are known: forgetting all of them at once would
-   * refuse every request.
+   * Applies the platform's list. While upstreams are known, an empty list is
+   * ignored as a fault of the platform: otherwise every request would be
+   * refused.
    */
   applyList(instances: readonly ports.ListedInstance[]): void {
     const found = instances.filter(instance => instance.role !== 'entry');
@@ -73,7 +75,7 @@
     this.refreshCandidates();
   }
 
-  /** Takes in an upstream's load report. */
+  /** Applies an upstream's load report. */
   applyReport(id: string, report: LoadReport): void {
     const now = this.options.clock.now();
     if (this.slots.get(id) !== report.slots) {
@@ -83,7 +85,7 @@
     this.options.placement.report(id, report.inFlight, now);
   }
 
-  /** Engines whose load this instance needs, with their addresses. */
+  /** Engines whose load reports this instance needs, with their addresses. */
   watched(): readonly {readonly id: string; readonly address: string}[] {
     return [...this.options.placement.watchedIds()]
       .map(id => this.listed.get(id))
@@ -94,17 +96,17 @@
       }));
   }
 
-  /** All upstreams, for status. */
+  /** All listed upstreams, for operators. */
   all(): readonly ports.ListedInstance[] {
     return [...this.listed.values()];
   }
 
-  /** Chooses an upstream and notes the start of an attempt. */
+  /** Chooses an upstream and records the start of an attempt. */
   place(request: UpstreamRequest): upstreams.Placement | undefined {
     const {placement, clock, excludedZones, sampleClosedZones} = this.options;
     const started = clock.now();
-    // Where only zones still ramping up could take it, they do: the ramp
-    // spares caches, and must not refuse a request.
+    // If only zones that are being ramped up can take the request, use them:
+    // the ramp protects caches and must not cause a refusal.
     const ramped = this.choose(request, sampleClosedZones());
     const outcome =
       ramped.kind === 'placed' ? ramped : this.choose(request, excludedZones());
--- a/packages/entry/src/warm-up-limiter.ts
+++ b/packages/entry/src/warm-up-limiter.ts
@@ -1,39 +1,43 @@
 /**
- * Keeps upstreams in cold start within what they bear, summed over all entry
- * instances: asks the upstream's issuer for slots, and issues them where this
- * instance is the issuer.
+ * Limits the requests on upstreams in cold start to their capacity, summed over
+ * all entry instances: requests grants of slots from the upstream's issuer, and
+ * issues them if this instance is the issuer.
  */
 import * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
 import type * as protocol from '@amaranthknot/protocol';
 import type * as upstreamDirectory from './upstream-directory.js';
 
-/** What the desk works with. */
+/** Dependencies and settings of a `WarmUpLimiter`. */
 export interface WarmUpLimiterOptions {
   readonly self: string;
   readonly clock: ports.Clock;
-  /** Ids of instances that take lasting work, this one included. */
+  /** Ids of instances that accept long-running work, this one included. */
   readonly instances: () => readonly string[];
-  /** When the view of the others was last confirmed, on `clock`. */
+  /** When the view of other instances was last confirmed, on `clock`. */
   readonly confirmedAtMs: () => number;
-  /** This instance's own requests in progress on an upstream. */
+  /** Number of this instance's requests in progress on an upstream. */
   readonly inFlight: (upstream: string) => number;
-  /** Asks another instance for slots; undefined when it does not answer. */
+  /** Requests slots from another instance; undefined if it does not answer. */
   readonly ask: (
     instance: string,
     params: protocol.Params<'request_grant'>,
   ) => Promise<protocol.Result<'request_grant'> | undefined>;
+  /** Called when an upstream is first found to be cold. */
   readonly notifyCold: (upstream: string) => void;
   readonly timing?: decisions.WarmUpTiming;
 }
 
-/** Time between two requests for slots; a third of a grant's term. */
+/** Time between two requests for grants, in milliseconds; a third of a term. */
 export const GRANT_REQUEST_INTERVAL_MS = 300;
 
-/** A report this much younger than the issuer's tells of a new cold start. */
+/**
+ * A cold start that began this much later than the one the issuer knows, in
+ * milliseconds, is a new one.
+ */
 const RESTART_MARGIN_MS = 1_000;
 
-/** What an upstream is taken to bear until its report says. */
+/** Capacity assumed for a cold upstream until its first load report. */
 const UNREPORTED_CURVE: decisions.WarmUpCurve = {
   coldSlots: 1,
   fullSlots: 2,
@@ -46,7 +50,7 @@
   readonly grant?: decisions.HeldGrant;
 }
 
-/** Grants for upstreams in cold start. */
+/** Holds and issues grants for upstreams in cold start. */
 export class WarmUpLimiter {
   private readonly cold = new Map<string, ColdUpstream>();
   private readonly issuers = new Map<string, decisions.WarmUpIssuer>();
@@ -61,7 +65,7 @@
     this.viewSinceMs = this.startedAtMs;
   }
 
-  /** Takes in a report; an upstream that tells no warmth counts as warm. */
+  /** Applies a load report; an upstream that reports no warm-up is warm. */
   applyReport(id: string, report: upstreamDirectory.LoadReport): void {
     const {warmUp, slots} = report;
     if (!warmUp || warmUp.ageMs >= warmUp.warmMs) {
@@ -82,9 +86,9 @@
   }
 
   /**
-   * An upstream refused as cold. Between two reports it can turn cold again
-   * without warning; every further request would add to what makes it fall
-   * over, so that nothing starts until its next report, or on a first grant.
+   * Records that an upstream refused an attempt because it is cold. It can
+   * become cold between two load reports, and further requests could make it
+   * fail. Nothing starts on it until its next report or a first grant.
    */
   recordRefusal(id: string): void {
     if (!this.cold.has(id)) {
@@ -104,7 +108,7 @@
     return decisions.mayStartOnGrant(cold.grant, inFlight(id), clock.now());
   }
 
-  /** Asks for slots of every cold upstream. */
+  /** Requests a grant for each cold upstream. */
   async requestGrants(): Promise<void> {
     this.updateView();
     await Promise.all(
@@ -112,7 +116,7 @@
     );
   }
 
-  /** Answers another instance's request for slots. */
+  /** Answers a request for a grant, with no slots if this is not the issuer. */
   answer(
     params: protocol.Params<'request_grant'>,
   ): protocol.Result<'request_grant'> {
@@ -156,7 +160,8 @@
     }
     const {viewLagMs, termMs, drainMs} = this.timing;
     const settledMs = this.viewSinceMs + viewLagMs + termMs + drainMs;
-    // Long the first in an unchanged view: no one else can have issued.
+    // The list of instances has not changed for so long that no other instance
+    // can have issued grants that are still valid.
     return settledMs < now
       ? decisions.createInitialIssuer(coldSinceMs)
       : decisions.createSuccessorIssuer(coldSinceMs, now, this.timing);
--- a/packages/entry/src/zone-ramp.ts
+++ b/packages/entry/src/zone-ramp.ts
@@ -1,11 +1,11 @@
 /**
- * Which availability zones may get new work now, and how much: none while a
- * zone is out, a growing share after its return.
+ * Decides which share of new work each availability zone gets: none while it is
+ * taken out, a growing share after it is brought back.
  */
 import type * as configuration from '@amaranthknot/configuration';
 import * as decisions from '@amaranthknot/decisions';
 
-/** Follows the zones of the configuration in force. */
+/** Tracks the zones of the active configuration. */
 export class ZoneRamp {
   private statuses = new Map<string, decisions.ZoneStatus>();
 
@@ -14,7 +14,7 @@
     private readonly timing: decisions.ZoneTiming = decisions.ZONE_TIMING,
   ) {}
 
-  /** Takes in the zones of a configuration that came into force. */
+  /** Applies the zones of a configuration that became active. */
   apply(zones: readonly configuration.Zone[]): void {
     const now = this.now();
     this.statuses = new Map(
@@ -28,8 +28,8 @@
   /**
    * Zones that one request must not use.
    *
-   * @param draw uniform in [0, 1), one for the request: a zone at weight 0.2
-   *   is open to the fifth of all requests that drew less
+   * @param draw uniform in [0, 1), drawn for the request: a zone of weight 0.2
+   *   is open to the fifth of all requests whose draw is below 0.2
    */
   listClosed(draw: number): ReadonlySet<string> {
     const now = this.now();
--- a/packages/entry/tests/resolve-plan.test.ts
+++ b/packages/entry/tests/resolve-plan.test.ts
@@ -45,7 +45,7 @@
 
 describe('resolvePlan', () => {
   for (const requested of ['', 'auto', 'answers', 'small', 'small@v1']) {
-    it(`resolves '${requested}', again the same`, () => {
+    it(`resolves '${requested}' and caches the plan`, () => {
       const document = parse(TEXT);
       const first = resolve(document, requested);
       chai.assert.isTrue(first.isRight());
@@ -53,8 +53,8 @@
     });
   }
 
-  // A version with more behind it ran as that version: callers could ask for
-  // one model by endless names, each of which would be kept.
+  // If text after a version were ignored, callers could name one model in any
+  // number of ways, each of which would be cached.
   for (const requested of [
     'small@v2',
     'small@v1@v1',
@@ -74,7 +74,7 @@
     });
   }
 
-  it('forgets with the configuration', () => {
+  it('does not reuse plans of an earlier configuration', () => {
     const before = parse(TEXT);
     const after = parse(TEXT.replace(', "model:small@v1"', ''));
     chai.assert.isTrue(resolve(before, 'small').isRight());
--- a/packages/ledger/src/bill-lanes.ts
+++ b/packages/ledger/src/bill-lanes.ts
@@ -1,15 +1,15 @@
-/** Bills that no segment holds yet, grouped by the lane that will hold them. */
+/** Pending bills, grouped by the lane whose segments will hold them. */
 import * as billTypes from './bill.js';
 
-/** A lane with the bills still to be written to it. */
+/** A lane and its unwritten bills. */
 interface Lane {
   readonly name: string;
   readonly bills: Map<string, billTypes.Bill>;
-  /** Whether a write is under way; new bills then go to another lane. */
+  /** Whether a write is in progress; new bills then go to another lane. */
   writing: boolean;
 }
 
-/** How lanes are named and filled. */
+/** Options for naming and filling lanes. */
 export interface BillLanesOptions {
   readonly incarnation: string;
   readonly wallTime: () => number;
@@ -17,10 +17,10 @@
 }
 
 /**
- * Keeps pending bills in lanes. A lane takes bills until it is full or being
- * written, also after failed writes: ten minutes of outage at 15 bills/s leave
- * ten full segments to write, not sixty small ones, which is what keeps the
- * returning platform from a stampede.
+ * Assigns pending bills to lanes. A lane accepts bills until it is full or
+ * being written, also after a failed write. A ten-minute outage at 15 bills/s
+ * then leaves ten full segments to write instead of sixty small ones, so that
+ * the platform is not overloaded when it recovers.
  */
 export class BillLanes {
   private readonly lanes = new Map<string, Lane>();
@@ -55,17 +55,19 @@
     );
   }
 
-  /** Names of lanes, the oldest first. */
+  /** Names of the lanes, oldest first. */
   names(): readonly string[] {
     return [...this.lanes.keys()];
   }
 
-  /** The lane of a pending bill. */
+  /** Name of the lane of a pending bill. */
   find(identity: string): string | undefined {
     return this.laneOf.get(identity);
   }
 
-  /** Takes a lane for writing; the caller ends it by `settle`. */
+  /**
+   * Marks a lane as being written; the caller must call `settle` afterwards.
+   */
   startWriting(name: string): readonly billTypes.Bill[] {
     const lane = this.lanes.get(name);
     if (!lane) {
@@ -75,7 +77,7 @@
     return [...lane.bills.values()];
   }
 
-  /** Ends a write: `written` identities leave, the rest stays pending. */
+  /** Ends a write: removes the `written` identities; the rest stay pending. */
   settle(name: string, written: ReadonlySet<string>): void {
     const lane = this.lanes.get(name);
     if (!lane) {
--- a/packages/ledger/src/bill-ledger.ts
+++ b/packages/ledger/src/bill-ledger.ts
@@ -1,6 +1,7 @@
 /**
- * Bills: one per answered request, neither lost nor doubled when instances
- * die or the platform is out. See `docs/design/08-bills.md`.
+ * Records exactly one bill per answered request: none is lost or written twice
+ * when an instance crashes or the platform is down. See
+ * `docs/design/08-bills.md`.
  */
 import * as purify from 'purify-ts';
 import type * as ports from '@amaranthknot/ports';
@@ -12,41 +13,44 @@
 import * as writeLane from './write-lane.js';
 
 /**
- * How a bill was made safe before the end of its answer.
+ * How a bill was made durable before its answer ends.
  *
- * - `copied`: enough peers in other zones hold it.
+ * - `copied`: enough peers in other zones hold a copy.
  * - `written`: it is in the object API.
- * - `at_risk`: only this process holds it, after the longest wait. The answer
- *   must not be ended as whole.
+ * - `at_risk`: only this process holds it after `durabilityTimeoutMs`. The
+ *   answer must not be ended as complete.
  */
 export type RecordResult = 'copied' | 'written' | 'at_risk';
 
-/** What a keeper of bills works with. */
+/** Dependencies and settings of a `BillLedger`. */
 export interface BillLedgerOptions {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
   /** Uniform in [0, 1), for jitter. */
   readonly random: () => number;
-  /** Incarnation of this instance: its id and a random part per start. */
+  /** Id of this instance and a random part that is new at each start. */
   readonly incarnation: string;
-  /** Copies bills to peers in other zones; answers how many hold them now. */
+  /** Copies bills to peers in other zones; resolves with how many hold them. */
   readonly copyToPeers: (batch: copyQueue.CopyBatch) => Promise<number>;
   readonly limits?: Partial<billLimits.BillLimits>;
 }
 
-/** Share of the flush interval between writes while a backlog is drained. */
+/** Fraction of the flush interval between two writes of a backlog. */
 const DRAIN_INTERVAL_FRACTION = 0.75;
 
-/** Time between rounds that try to make bills safe, in milliseconds. */
+/** Time between two attempts to make bills at risk durable, in milliseconds. */
 const AT_RISK_INTERVAL_MS = 1_000;
 
 /**
- * Writes tried before one copy has to do. A single refused call is no outage;
- * three in a row are, and waiting longer would only hold up the answer.
+ * Write attempts before a single copy is accepted as durable. One refused call
+ * is no outage; after three consecutive failures, waiting only delays the
+ * answer.
  */
 const MAX_ATTEMPTS_WITH_COPY = 3;
 
-/** Keeps and writes the bills of one instance. */
+/**
+ * Holds the pending bills of one instance and writes them to the object API.
+ */
 export class BillLedger {
   private readonly limits: billLimits.BillLimits;
   private readonly lanes: billLanes.BillLanes;
@@ -56,7 +60,7 @@
   private writing: Promise<boolean> | undefined;
   private isPlatformOut = false;
   private wake = new AbortController();
-  /** Bills whose answers had to be withheld, for metrics. */
+  /** Number of bills whose answers were withheld, for metrics. */
   atRiskCount = 0;
 
   constructor(private readonly options: BillLedgerOptions) {
@@ -73,10 +77,10 @@
   }
 
   /**
-   * Whether a new request may be accepted. Ask before anything is sent.
+   * Whether a new request may be accepted. Call it before anything is sent.
    *
-   * Guards against an outage that outlasts the memory for bills, and against
-   * answers that no one but this process could bill: both would lose bills.
+   * Refuses when an outage has filled the memory for bills, and while a bill
+   * exists only in this process: in both cases bills could be lost.
    */
   mayAccept(): purify.Either<circuitBreaker.Refusal, true> {
     const full = this.lanes.size >= this.limits.maxPending;
@@ -89,14 +93,14 @@
     return purify.Left({ran: 'not_run', retryAfterMs});
   }
 
-  /** Bills not yet in the object API, for copies to a new peer. */
+  /** Bills not yet in the object API, which a new replica must receive. */
   pending(): readonly billTypes.PendingBill[] {
     return this.lanes.all();
   }
 
   /**
-   * Makes a bill safe; await it before the end of the answer. Recording one
-   * identity again joins the first.
+   * Makes a bill durable; await it before ending the answer. A second call with
+   * the same identity returns the result of the first.
    */
   record(bill: billTypes.Bill): Promise<RecordResult> {
     const earlier = this.recording.get(bill.identity);
@@ -114,8 +118,8 @@
   }
 
   /**
-   * Writes all pending bills, the oldest lane first; stops at the first
-   * failure. Call it in a graceful shutdown, after the last answer.
+   * Writes all pending bills, oldest lane first, and stops at the first
+   * failure. Call it during a graceful shutdown, after the last answer.
    *
    * @returns whether nothing is pending
    */
@@ -129,7 +133,7 @@
     return this.lanes.size === 0;
   }
 
-  /** Writes bills at the flush interval until `signal` aborts. */
+  /** Writes one lane per flush interval until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     signal.addEventListener('abort', () => this.wake.abort(), {once: true});
     while (!signal.aborted) {
@@ -141,10 +145,11 @@
   }
 
   /**
-   * Writes the bills that a dead owner left with this instance as copies. It
-   * is safe on several instances at once and while the owner still lives.
+   * Writes bills of a dead owner of which this instance holds copies. Safe to
+   * run on several instances at once, and while the owner is still alive.
    *
-   * @returns Left when the platform fails: keep the copies and try again
+   * @returns the number of bills, or Left when the platform fails: the caller
+   *   must then keep the copies and retry
    */
   async recover(
     ownerIncarnation: string,
@@ -183,8 +188,9 @@
   }
 
   /**
-   * Without enough peers the bill goes to the platform before the answer; in
-   * an outage one copy has to do, as the answer would otherwise be withheld.
+   * Writes a bill to the object API because too few peers hold it. During an
+   * outage a single copy is accepted, as the answer would otherwise be
+   * withheld.
    */
   private async writeThrough(
     identity: string,
@@ -211,7 +217,7 @@
     return 'at_risk';
   }
 
-  /** One write at a time; a caller that joins a write checks its own bill. */
+  /** Writes a lane, one write at a time; true also if an earlier write did. */
   private async write(name: string): Promise<boolean> {
     while (this.writing) {
       await this.writing;
@@ -252,7 +258,7 @@
     }
   }
 
-  /** Offers bills that are at risk to peers again. */
+  /** Sends the bills that are not durable yet to peers again. */
   private async retryCopies(): Promise<void> {
     if (!this.isAtRisk()) {
       return;
@@ -268,22 +274,22 @@
     }
   }
 
-  /** Tells peers which copies can go. */
+  /** Tells peers which copies they can delete. */
   private async sendReleases(): Promise<void> {
     if (this.copies.hasReleases()) {
       await this.copies.send([]);
     }
   }
 
-  /** Whether a bill's only place is this process and stays so. */
+  /** Whether a bill exists only in this process and `record` has given up. */
   private isAtRisk(): boolean {
     return [...this.notDurable].some(identity => !this.recording.has(identity));
   }
 
   /**
-   * Jittered, so that instances started or refused together drift apart. With
-   * a backlog, one lane per three quarters of an interval: the drain adds at
-   * most a third to the platform's steady load.
+   * Jittered, so that instances that were started or refused together do not
+   * stay synchronized. A backlog is written at one lane per three quarters of
+   * an interval, which adds at most a third to the platform's steady load.
    */
   private nextIntervalMs(): number {
     const {flushIntervalMs} = this.limits;
--- a/packages/ledger/src/bill-limits.ts
+++ b/packages/ledger/src/bill-limits.ts
@@ -1,30 +1,36 @@
-/** Bounds of the memory, time and calls that bills take. */
+/** Limits on the memory, time and object API calls that bills take. */
 
-/** Bounds of a keeper of bills. */
+/** Limits of a `BillLedger`. */
 export interface BillLimits {
-  /** Mean time between two segments, in milliseconds. */
+  /** Mean time between two segment writes, in milliseconds. */
   readonly flushIntervalMs: number;
   readonly maxSegmentBills: number;
-  /** Pending bills past which new requests are refused. */
+  /** Number of pending bills from which new requests are refused. */
   readonly maxPending: number;
-  /** Copies that make a bill safe. */
+  /** Number of copies that make a bill durable. */
   readonly copyQuorum: number;
-  /** Longest wait for copies, in milliseconds. */
+  /** Timeout of copying to peers, in milliseconds. */
   readonly copyTimeoutMs: number;
-  /** Time to gather bills into one write when no peer takes copies. */
+  /**
+   * Time in which bills are gathered into one write when too few peers accept
+   * copies, in milliseconds.
+   */
   readonly batchDelayMs: number;
-  /** Longest time to make one bill safe, in milliseconds. */
+  /** Time allowed for writing a bill that lacks copies, in milliseconds. */
   readonly durabilityTimeoutMs: number;
-  /** Time of one call to the object API, in milliseconds. */
+  /** Timeout of one call to the object API, in milliseconds. */
   readonly callTimeoutMs: number;
 }
 
 /**
- * Defaults. At 15,000 requests/s on 1,000 instances a segment each 10 s is
- * 100 writes/s of the platform's several hundred; shorter costs writes, longer
- * leaves more bills to two or three processes' memory. A segment of
- * 1,000 bills is 184 KB of the platform's megabyte. 50,000 pending bills are
- * 12 MB of the 256 MB, and at 15 bills/s nearly an hour of outage.
+ * Defaults for 15,000 requests/s on 1,000 instances.
+ *
+ * - `flushIntervalMs`: a segment every 10 s is 100 writes/s of the several
+ *   hundred that the platform allows. A shorter interval costs writes; a longer
+ *   one leaves more bills in the memory of only two or three processes.
+ * - `maxSegmentBills`: 1,000 bills are 184 KB; the platform allows 1 MB.
+ * - `maxPending`: 50,000 bills are 12 MB of the 256 MB of an instance and, at
+ *   15 bills/s, nearly an hour of outage.
  */
 export const DEFAULT_BILL_LIMITS: BillLimits = {
   flushIntervalMs: 10_000,
--- a/packages/ledger/src/bill-replicator.ts
+++ b/packages/ledger/src/bill-replicator.ts
@@ -1,38 +1,42 @@
-/** Copies of this instance's pending bills on peers in other zones. */
+/** Replicates this instance's pending bills to peers in other zones. */
 import type * as billTypes from './bill.js';
 import * as replicaSelection from './replica-selection.js';
 import type * as copyQueue from './copy-queue.js';
 
-/** What copies to peers work with. */
+/** Dependencies and settings of a `BillReplicator`. */
 export interface BillReplicatorOptions {
   readonly quorum: number;
-  /** Live peers in other zones, the preferred (by rendezvous) first. */
+  /** Live peers in other zones, ranked by rendezvous hashing, best first. */
   readonly candidates: () => readonly replicaSelection.ReplicaCandidate[];
-  /** Sends a batch; whether the peer holds it now. Bounds its own time. */
+  /**
+   * Sends a batch; resolves with whether the peer holds it now. It must have a
+   * timeout of its own.
+   */
   readonly send: (peer: string, batch: copyQueue.CopyBatch) => Promise<boolean>;
   /** All bills of this instance that are not in the object API. */
   readonly pending: () => readonly billTypes.PendingBill[];
   readonly selectReplicas?: replicaSelection.ReplicaSelector;
 }
 
-/** Peers tried for one batch beyond the quorum, so that an answer can end. */
+/** Rounds of replacing failed replicas per batch, so that an answer can end. */
 const MAX_REPLACEMENTS = 2;
 
 /**
- * Keeps a set of replicas which hold all pending bills. `copy` is meant as
- * `copyToPeers` of a `BillLedger`.
+ * Maintains a set of replicas that hold all pending bills. `replicate` serves
+ * as `copyToPeers` of a `BillLedger`.
  */
 export class BillReplicator {
   private replicas: readonly string[] = [];
   private lastBatch: Promise<unknown> = Promise.resolve();
-  /** Bills sent to a peer anew because the set of replicas changed. */
+  /** Number of bills sent again because the set of replicas changed. */
   recopiedBills = 0;
 
   constructor(private readonly options: BillReplicatorOptions) {}
 
   /**
-   * Sends a batch to all replicas; answers how many hold it now. One batch at
-   * a time: two at once could each drop a peer that the other counts on.
+   * Sends a batch to all replicas; resolves with how many hold it now. Batches
+   * are sent one at a time: of two at once, each could drop a peer that the
+   * other counts as a replica.
    */
   replicate(batch: copyQueue.CopyBatch): Promise<number> {
     const copied = this.lastBatch.then(() => this.replicateNow(batch));
@@ -41,10 +45,10 @@
   }
 
   /**
-   * Replaces replicas that left or share a zone. Call it every few seconds as
-   * well as on a change: a change that came and went between two looks may
-   * have shaped the choice made in that moment. It sends nothing when the
-   * replicas stay.
+   * Replaces replicas that left or that share a zone; sends nothing when the
+   * replicas stay the same. Call it on each membership change and also every
+   * few seconds: replicas may have been chosen during a change that was
+   * reverted before a caller noticed it.
    */
   async refreshReplicas(incarnation: string): Promise<number> {
     const pending = this.options.pending();
@@ -66,7 +70,7 @@
     return this.replicas.length;
   }
 
-  /** @returns peers that did not take the batch */
+  /** @returns peers that did not accept the batch */
   private async sendToAll(
     batch: copyQueue.CopyBatch,
     refused: readonly string[],
@@ -83,7 +87,9 @@
     return results.filter(result => !result.taken).map(result => result.peer);
   }
 
-  /** A new replica gets everything pending: it may be the only one to live. */
+  /**
+   * A new replica gets all pending bills: it may be the only one to survive.
+   */
   private async sendTo(
     peer: string,
     batch: copyQueue.CopyBatch,
@@ -101,7 +107,7 @@
   private selectReplicas(refused: readonly string[]): readonly string[] {
     const {candidates, quorum, selectReplicas} = this.options;
     const usable = candidates().filter(peer => !refused.includes(peer.id));
-    const chosen = selectReplicas ?? replicaSelection.selectStickyReplicas;
-    return chosen(this.replicas, usable, quorum);
+    const select = selectReplicas ?? replicaSelection.selectStickyReplicas;
+    return select(this.replicas, usable, quorum);
   }
 }
--- a/packages/ledger/src/bill.ts
+++ b/packages/ledger/src/bill.ts
@@ -1,9 +1,9 @@
-/** Bills and the segments that hold them in the object API. */
+/** Bills, and the segment objects that store them in the object API. */
 
 /** Kind of segment objects in the object API. */
 export const BILL_KIND = 'bill-segment';
 
-/** What one answered request costs; one per request identity. */
+/** Cost of one answered request; one per request identity. */
 export interface Bill {
   /** Name of the request's identity. */
   readonly identity: string;
@@ -18,14 +18,14 @@
   readonly atWallMs: number;
 }
 
-/** A bill bound to the one lane of segments that may hold it. */
+/** A bill and the only lane that it may be written to. */
 export interface PendingBill {
-  /** Name of the lane, see `nameLane`. */
+  /** Name from `nameLane`. */
   readonly lane: string;
   readonly bill: Bill;
 }
 
-/** Value of a segment object. Segments are written once, never changed. */
+/** Value of a segment object. Segments are created once and never updated. */
 export interface BillSegment {
   readonly bills: readonly Bill[];
 }
@@ -33,8 +33,9 @@
 const SEQUENCE_DIGITS = 8;
 
 /**
- * Names a lane after the hour it was opened in (so that a reader lists one
- * hour by prefix), the owner's incarnation and a sequence number.
+ * Names a lane by the hour in which it was opened, the owner's incarnation and
+ * a sequence number. The hour comes first so that readers can list one hour by
+ * prefix.
  */
 export const nameLane = (
   wallMs: number,
@@ -50,7 +51,7 @@
 export const nameSegment = (lane: string, index: number): string =>
   `${lane}.${index}`;
 
-/** Bills of each lane, in the order given. */
+/** Groups bills by lane; keeps their order. */
 export const groupByLane = (
   pending: readonly PendingBill[],
 ): ReadonlyMap<string, readonly Bill[]> => {
@@ -61,7 +62,7 @@
   return lanes;
 };
 
-/** Reads a segment object's value; undefined when it is not one. */
+/** Parses the value of a segment object; undefined when it is malformed. */
 export const readBillSegment = (value: unknown): BillSegment | undefined => {
   if (typeof value !== 'object' || value === null) {
     return undefined;
--- a/packages/ledger/src/circuit-breaker.ts
+++ b/packages/ledger/src/circuit-breaker.ts
@@ -1,29 +1,31 @@
-/** Refusal at once while the platform is out, with one probe at a time. */
+/** Circuit breaker for the platform: refuses at once while it is down. */
 import type * as ports from '@amaranthknot/ports';
 
-/** Bounds of the time between two probes, in milliseconds. */
+/** Dependencies and settings of a `CircuitBreaker`. */
 export interface CircuitBreakerOptions {
   readonly clock: ports.Clock;
   /** Uniform in [0, 1). */
   readonly random: () => number;
-  /** Shortest time between probes; the longest is twice it. */
+  /**
+   * Minimum time between two probes, in milliseconds; the maximum is twice it.
+   */
   readonly minProbeIntervalMs: number;
 }
 
-/** A refusal that is certain: no part of the request was sent anywhere. */
+/** A refusal of a request of which nothing was sent anywhere. */
 export interface Refusal {
   readonly ran: 'not_run';
-  /** When to come back, in milliseconds, jittered. */
+  /** Time after which the caller may retry, in milliseconds, jittered. */
   readonly retryAfterMs: number;
 }
 
 /**
- * Remembers that the platform failed.
+ * Opens when a call to the platform fails, and closes when one succeeds.
  *
- * Load: 15,000 requests/s in a platform outage. Without it each request waits
- * for a timeout of its own, which fills memory and makes refusals late; and
- * when the platform returns, every instance calls at once. One jittered probe
- * per instance and window keeps the returning platform's load at a few calls
+ * Load: 15,000 requests/s during a platform outage. Without it each request
+ * waits for its own timeout, which fills memory and delays refusals, and all
+ * instances call at once when the platform recovers. One jittered probe per
+ * instance and window limits the load on a recovering platform to a few calls
  * per instance.
  */
 export class CircuitBreaker {
@@ -31,7 +33,7 @@
 
   constructor(private readonly options: CircuitBreakerOptions) {}
 
-  /** Whether a call may go out now; in an outage only one per window may. */
+  /** Whether a call may be made now; while open, one per window may. */
   allowCall(): boolean {
     if (this.openUntil === undefined) {
       return true;
@@ -43,17 +45,17 @@
     return true;
   }
 
-  /** Notes a call that the platform answered. */
+  /** Records a call that the platform answered. */
   recordSuccess(): void {
     this.openUntil = undefined;
   }
 
-  /** Notes a call that failed for want of the platform. */
+  /** Records a call that failed because the platform is down. */
   recordFailure(): void {
     this.trip();
   }
 
-  /** A refusal that asks callers back after the next probe, spread out. */
+  /** Refusal whose retry time is after the next probe, with jitter. */
   createRefusal(): Refusal {
     const {clock, random, minProbeIntervalMs} = this.options;
     const left = Math.max(0, (this.openUntil ?? 0) - clock.now());
--- a/packages/ledger/src/claim-attempt.ts
+++ b/packages/ledger/src/claim-attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt at a claim, until it is settled whose the claim is. */
+/** One attempt to create a claim, until it is known who owns the claim. */
 import type * as ports from '@amaranthknot/ports';
 import type * as claimLimits from './claim-limits.js';
 import type * as claimObjects from './claim-objects.js';
@@ -6,18 +6,18 @@
 import type * as requestIdentity from './request-identity.js';
 import * as backOff from './util/back-off.js';
 
-/** The right to send one request once, held by one attempt. */
+/** The right of one attempt to send one request once. */
 export interface Claim {
   readonly identity: requestIdentity.RequestIdentity;
   readonly owner: string;
-  /** Version of the claim object, needed to finish or abandon it. */
+  /** Version of the claim object, needed to finish or abandon the claim. */
   readonly version: number;
   readonly record: claimRecord.ClaimRecord;
-  /** Whether a delayed write may make the claim's object once more. */
+  /** Whether a delayed write may create the claim's object again. */
   readonly mayReappear: boolean;
 }
 
-/** How an attempt ended; see `ClaimResult`. */
+/** Result of an attempt; see `ClaimResult`. */
 export type AttemptResult =
   | {readonly kind: 'granted'; readonly claim: Claim}
   | {
@@ -28,27 +28,27 @@
   | {readonly kind: 'mismatch'}
   | {
       readonly kind: 'unsettled';
-      /** Whether a claim, ours or another's, was certainly there. */
+      /** Whether a claim, of this or another attempt, certainly existed. */
       readonly seen: boolean;
     };
 
-/** What an attempt works with. */
+/** Dependencies and settings of a `ClaimAttempt`. */
 export interface ClaimAttemptOptions {
   readonly objects: claimObjects.ClaimObjects;
   readonly clock: ports.Clock;
   readonly random: () => number;
   readonly limits: claimLimits.ClaimLimits;
-  /** Whether the owner of a claim sent nothing and never will. */
+  /** Whether the owner of a claim has sent nothing and never will. */
   readonly isVoid: (record: claimRecord.ClaimRecord) => Promise<boolean>;
 }
 
-/** Creates one claim object, or finds out who holds it. */
+/** Creates one claim object, or finds out who owns it. */
 export class ClaimAttempt {
   private seen = false;
-  /** Whether a write of this attempt may be, or may yet come, in the store. */
+  /** Whether a write of this attempt may have taken effect, or still may. */
   mayExist = false;
 
-  /** @param record with an owner token that no other attempt uses */
+  /** @param record its owner token must not be used by any other attempt */
   constructor(
     private readonly options: ClaimAttemptOptions,
     private readonly identity: requestIdentity.RequestIdentity,
@@ -85,9 +85,10 @@
   }
 
   /**
-   * Guards against a create whose answer was lost: the caller would be refused
-   * while its claim stands, or two attempts would both believe in theirs. The
-   * owner token tells whose claim stands, and no token is used twice.
+   * Reads the claim after a create whose answer was lost. Otherwise the caller
+   * would be refused although its claim exists, or two attempts would both
+   * assume that they own it. The owner token, which is never reused, identifies
+   * the owner.
    */
   private async readBack(): Promise<AttemptResult | undefined> {
     if (!this.seen && !this.mayExist) {
@@ -112,7 +113,9 @@
     return {kind: 'already', state, ...(outcome ? {outcome} : {})};
   }
 
-  /** Replaces a void claim by ours; the version lets only one attempt do so. */
+  /**
+   * Replaces a void claim; the expected version lets only one attempt do so.
+   */
   private async takeOver(version: number): Promise<AttemptResult | undefined> {
     const {objects} = this.options;
     const {name} = this.identity;
--- a/packages/ledger/src/claim-ledger.ts
+++ b/packages/ledger/src/claim-ledger.ts
@@ -1,6 +1,6 @@
 /**
- * Claims of non-idempotent requests: at most one send per request identity,
- * over all instances and retries. See `docs/design/07-claims.md`.
+ * Claims of non-idempotent requests: each request identity is sent at most
+ * once, across all instances and retries. See `docs/design/07-claims.md`.
  */
 import * as purify from 'purify-ts';
 import type * as ports from '@amaranthknot/ports';
@@ -14,14 +14,14 @@
 import * as voidTokens from './void-tokens.js';
 
 /**
- * Outcome of asking for a claim.
+ * Result of a request for a claim.
  *
  * - `granted`: this attempt, and no other, may send the request.
- * - `already`: another attempt holds the claim. `finished` carries its answer;
- *   `claimed` means it runs or its instance failed, so the caller's outcome is
- *   `unknown`.
- * - `mismatch`: the key was used before with another body; nothing was sent.
- * - `refused`: this attempt sent nothing and never will.
+ * - `already`: another attempt owns the claim. State `finished` carries its
+ *   answer; `claimed` means that it is running or that its instance failed, so
+ *   the outcome for the caller is `unknown`.
+ * - `mismatch`: the key was used with another body; nothing was sent.
+ * - `refused`: this attempt has sent nothing and never will.
  */
 export type ClaimResult =
   | Exclude<claimAttempt.AttemptResult, {kind: 'unsettled'}>
@@ -33,22 +33,23 @@
   readonly message: string;
 }
 
-/** What another instance knows of a claim that it made. */
+/** What the instance that made a claim knows about it. */
 export type OwnerStatus = 'void' | 'in_use' | 'no_answer';
 
-/** What a keeper of claims works with. */
+/** Dependencies and settings of a `ClaimLedger`. */
 export interface ClaimLedgerOptions {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
   /** Uniform in [0, 1), for jitter. */
   readonly random: () => number;
-  /** A new unguessable id with each call. */
+  /** Returns a new unguessable id on each call. */
   readonly newToken: () => string;
-  /** Incarnation of this instance: its id and a random part per start. */
+  /** Id of this instance and a random part that is new at each start. */
   readonly incarnation: string;
   /**
-   * Asks the instance that made a claim whether the claim is void. It bounds its own time. Without it
-   * a claim whose owner gave up unsettled stays `claimed`.
+   * Asks the instance that made a claim whether the claim is void. It must have
+   * a timeout of its own. Without this function, a claim whose attempt gave up
+   * before it was settled stays `claimed`.
    */
   readonly queryOwner?: (
     incarnation: string,
@@ -57,7 +58,7 @@
   readonly limits?: Partial<claimLimits.ClaimLimits>;
 }
 
-/** Makes, finishes and abandons claims for one instance. */
+/** Creates, finishes and abandons claims for one instance. */
 export class ClaimLedger {
   private readonly limits: claimLimits.ClaimLimits;
   private readonly breaker: circuitBreaker.CircuitBreaker;
@@ -79,9 +80,10 @@
   }
 
   /**
-   * Asks for the right to send a request. Must precede the first byte sent.
+   * Requests the right to send a request; call it before the first byte is
+   * sent.
    *
-   * @param fingerprint of the request's body, see `fingerprintRequest`
+   * @param fingerprint fingerprint of the body, from `fingerprintRequest`
    */
   async claim(
     identity: requestIdentity.RequestIdentity,
@@ -100,8 +102,9 @@
   }
 
   /**
-   * Records the answer, so that retries get it in place of a second run. On
-   * `platform_out` the claim stays `claimed` and retries get `unknown`.
+   * Records the answer, so that retries receive it instead of running the
+   * request again. On `platform_out` the claim stays `claimed`, and retries get
+   * `unknown`.
    */
   async finish(
     claim: claimAttempt.Claim,
@@ -122,19 +125,25 @@
       }
       const stored = (await this.objects.read(name))?.record;
       if (stored && stored.owner !== claim.owner) {
-        return purify.Left({code: 'not_owner', message: `${name} is taken`});
+        return purify.Left({
+          code: 'not_owner',
+          message: `claim ${name} belongs to another attempt`,
+        });
       }
       if (stored?.state === 'finished') {
         return purify.Right(kept);
       }
     }
-    return purify.Left({code: 'platform_out', message: `${name} not recorded`});
+    return purify.Left({
+      code: 'platform_out',
+      message: `answer not recorded in claim ${name}`,
+    });
   }
 
   /**
-   * Gives a claim up. Only for a request of which certainly no byte was sent.
-   * The claim is void from the call on; the object is deleted at once or by
-   * `deleteVoidClaims`, and until then the claim can be taken over.
+   * Gives up a claim; allowed only if no byte of the request was sent. The
+   * claim is void at once and can be taken over until its object is deleted,
+   * here or by `deleteVoidClaims`.
    */
   async abandon(claim: claimAttempt.Claim): Promise<void> {
     const {name} = claim.identity;
@@ -145,15 +154,15 @@
     }
   }
 
-  /** Answers another instance's question about a claim made here. */
+  /** Status of a claim made by this instance, for another instance's query. */
   getOwnerStatus(owner: string): OwnerStatus {
     return this.voidTokens.has(owner) ? 'void' : 'in_use';
   }
 
   /**
-   * Deletes objects of void claims, `limit` at most. Call it every few
-   * seconds: a lost create can take effect after its attempt gave up, and
-   * even after the attempt's claim was deleted.
+   * Deletes objects of void claims, at most `limit`. Call it every few seconds:
+   * a delayed create can take effect after its attempt gave up, and even after
+   * the attempt's claim was deleted.
    */
   async deleteVoidClaims(limit = 10): Promise<void> {
     const nowMs = this.options.clock.now();
@@ -162,7 +171,7 @@
     }
   }
 
-  /** Void claims that may still have an object. */
+  /** Number of void claims that may still have an object. */
   get voidCount(): number {
     return this.voidTokens.size;
   }
@@ -182,7 +191,7 @@
       this.createRecord(fingerprint),
     );
     const settled = await attempt.settle();
-    // Void before the answer, so that no later read can grant it.
+    // Mark the claim void before answering, so that no later read can grant it.
     if (settled.kind !== 'granted' && attempt.mayExist) {
       this.markVoid(identity.name, attempt.record.owner);
     }
@@ -206,8 +215,8 @@
   }
 
   /**
-   * Where a claim was seen but could not be read, someone may be running the
-   * request: `not_run` would mislead the caller.
+   * If a claim exists but could not be read, another attempt may be running the
+   * request, so that `not_run` could be false.
    */
   private refuseUnsettled(seen: boolean): ClaimResult {
     return seen
--- a/packages/ledger/src/claim-limits.ts
+++ b/packages/ledger/src/claim-limits.ts
@@ -1,30 +1,36 @@
-/** Bounds of the memory, time and calls that claims take. */
+/** Limits on the memory, time and object API calls that claims take. */
 
-/** Bounds of a keeper of claims. */
+/** Limits of a `ClaimLedger`. */
 export interface ClaimLimits {
-  /** Time of one call to the object API, in milliseconds. */
+  /** Timeout of one call to the object API, in milliseconds. */
   readonly callTimeoutMs: number;
-  /** Time to settle one claim, in milliseconds. */
+  /** Time in which rounds to settle one claim may start, in milliseconds. */
   readonly claimTimeoutMs: number;
-  /** Rounds of create and read to settle one claim. */
+  /** Maximum rounds of create and read to settle one claim. */
   readonly maxAttempts: number;
-  /** Wait before the second round, in milliseconds; doubles each round. */
+  /** Delay before the second round, in milliseconds; doubles each round. */
   readonly backoffMs: number;
-  /** Claims being settled at once; past it requests are refused. */
+  /** Claims that may be settled concurrently; further requests are refused. */
   readonly maxInProgress: number;
-  /** Largest answer kept for retries, in bytes of UTF-8. */
+  /** Largest answer stored for retries, in bytes of UTF-8. */
   readonly maxOutcomeBytes: number;
-  /** Void tokens remembered. */
+  /** Maximum number of void tokens remembered. */
   readonly maxVoidTokens: number;
-  /** Shortest time between probes of a platform that is out. */
+  /**
+   * Minimum time between probes of a platform that is down, in milliseconds.
+   */
   readonly minProbeIntervalMs: number;
 }
 
 /**
- * Defaults: the platform answers in milliseconds, so a second without an
- * answer is a failure, and three seconds is what a caller at a door waits.
- * 1,000 claims in progress are about 6 MB. 64 KiB holds any confirmation and
- * keeps the object far under the platform's megabyte.
+ * Defaults.
+ *
+ * - `callTimeoutMs`: the platform answers within milliseconds, so that a second
+ *   without an answer is a failure.
+ * - `claimTimeoutMs`: callers at a door wait about three seconds.
+ * - `maxInProgress`: 1,000 claims take about 6 MB.
+ * - `maxOutcomeBytes`: 64 KiB holds any confirmation and is far below the
+ *   platform's limit of 1 MB per object.
  */
 export const DEFAULT_CLAIM_LIMITS: ClaimLimits = {
   callTimeoutMs: 1_000,
--- a/packages/ledger/src/claim-objects.ts
+++ b/packages/ledger/src/claim-objects.ts
@@ -1,23 +1,23 @@
-/** Calls to the object API for claims, each bounded in time. */
+/** Calls to the object API for claims, each with a timeout. */
 import type * as ports from '@amaranthknot/ports';
 import * as claimRecord from './claim-record.js';
 import * as callWithTimeout from './util/call-with-timeout.js';
 
-/** What calls for claims need. */
+/** Dependencies and settings of `ClaimObjects`. */
 export interface ClaimObjectsOptions {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
-  /** Time of one call, in milliseconds. */
+  /** Timeout of one call, in milliseconds. */
   readonly callTimeoutMs: number;
 }
 
-/** A claim as read, with the version to change it by. */
+/** A claim as read, with the version that an update or delete must pass. */
 export interface StoredClaim {
   readonly record: claimRecord.ClaimRecord;
   readonly version: number;
 }
 
-/** Claim objects in the object API. */
+/** Reads and writes claim objects. */
 export class ClaimObjects {
   constructor(private readonly options: ClaimObjectsOptions) {}
 
@@ -46,7 +46,7 @@
     );
   }
 
-  /** Reads a claim; undefined when absent or when the platform is out. */
+  /** Reads a claim; undefined if it is absent, malformed or the call failed. */
   async read(name: string): Promise<StoredClaim | undefined> {
     const found = await this.call(
       this.options.store.get(claimRecord.CLAIM_KIND, name),
--- a/packages/ledger/src/claim-record.ts
+++ b/packages/ledger/src/claim-record.ts
@@ -1,28 +1,28 @@
-/** Claims as the object API holds them. */
+/** Claims as stored in the object API. */
 import * as crypto from 'node:crypto';
 
 /** Kind of claim objects in the object API. */
 export const CLAIM_KIND = 'claim';
 
-/** The recorded answer of a request, for retries of its caller. */
+/** The recorded answer to a request, which the caller's retries receive. */
 export type ClaimOutcome =
   | {readonly kind: 'answer'; readonly status: number; readonly body: string}
   | {
-      /** An answer too large to keep: its size and SHA-256 digest only. */
+      /** Stands for an answer that is too large to store. */
       readonly kind: 'digest';
       readonly status: number;
       readonly bytes: number;
       readonly sha256: string;
     };
 
-/** Whether the owner of a claim has recorded its answer. */
+/** `finished` once the owner of the claim has recorded the answer. */
 export type ClaimState = 'claimed' | 'finished';
 
 /** Value of a claim object. */
 export interface ClaimRecord {
   /** Unique token of the one attempt that may send the request. */
   readonly owner: string;
-  /** Incarnation of the instance that made the claim. */
+  /** Incarnation of the instance that created the claim. */
   readonly incarnation: string;
   /** Fingerprint of the request's body. */
   readonly fingerprint: string;
@@ -32,7 +32,7 @@
   readonly atWallMs: number;
 }
 
-/** Reads a claim object's value; undefined when it is not one. */
+/** Parses the value of a claim object; undefined when it is malformed. */
 export const readClaimRecord = (value: unknown): ClaimRecord | undefined => {
   if (typeof value !== 'object' || value === null) {
     return undefined;
@@ -46,7 +46,7 @@
   return complete ? (record as ClaimRecord) : undefined;
 };
 
-/** Bounds an answer to `maxBytes`; a larger one is kept as a digest. */
+/** Replaces an answer of more than `maxBytes` by its digest. */
 export const boundOutcome = (
   outcome: ClaimOutcome,
   maxBytes: number,
--- a/packages/ledger/src/copy-queue.ts
+++ b/packages/ledger/src/copy-queue.ts
@@ -1,23 +1,23 @@
-/** Sends copies of pending bills to peers, gathered into few messages. */
+/** Sends copies of pending bills to peers, many bills to one message. */
 import type * as ports from '@amaranthknot/ports';
 import type * as billTypes from './bill.js';
 
-/** A message to the peers that hold copies of this instance's bills. */
+/** A message from the owner of bills to the peers that hold copies of them. */
 export interface CopyBatch {
   /** Incarnation of the owner. */
   readonly incarnation: string;
   readonly bills: readonly billTypes.PendingBill[];
-  /** Lanes that are in the object API, whose copies can go. */
+  /** Lanes that are in the object API; their copies can be deleted. */
   readonly writtenLanes: readonly string[];
 }
 
-/** What a queue of copies works with. */
+/** Dependencies and settings of a `CopyQueue`. */
 export interface CopyQueueOptions {
   readonly clock: ports.Clock;
   readonly incarnation: string;
-  /** Answers how many peers in other zones hold the batch now. */
+  /** Resolves with the number of peers in other zones that hold the batch. */
   readonly copyToPeers: (batch: CopyBatch) => Promise<number>;
-  /** Longest wait for the peers, in milliseconds; then they count as none. */
+  /** Timeout of one batch, in milliseconds; after it no peer is counted. */
   readonly timeoutMs: number;
 }
 
@@ -27,8 +27,8 @@
 }
 
 /**
- * Keeps one message under way; bills that come meanwhile share the next. At
- * peak load the messages so grow in place of their number.
+ * Sends one message at a time; bills that arrive meanwhile go into the next
+ * one. Under peak load messages get larger instead of more numerous.
  */
 export class CopyQueue {
   private waiting: QueuedBill[] = [];
@@ -37,7 +37,7 @@
 
   constructor(private readonly options: CopyQueueOptions) {}
 
-  /** Copies a bill; resolves with the number of peers that hold it. */
+  /** Queues a bill; resolves with the number of peers that hold it. */
   copy(pending: billTypes.PendingBill): Promise<number> {
     return new Promise(resolve => {
       this.waiting.push({pending, resolve});
@@ -47,7 +47,9 @@
     });
   }
 
-  /** Notes a written lane; the next message lets its copies go. */
+  /**
+   * Records a written lane; the next message tells peers to delete its copies.
+   */
   release(lane: string): void {
     this.writtenLanes.push(lane);
   }
@@ -56,7 +58,7 @@
     return this.writtenLanes.length > 0;
   }
 
-  /** Sends one batch at once. */
+  /** Sends one batch without queueing it. */
   async send(bills: readonly billTypes.PendingBill[]): Promise<number> {
     const {clock, copyToPeers, incarnation, timeoutMs} = this.options;
     const writtenLanes = this.writtenLanes;
--- a/packages/ledger/src/copy-store.ts
+++ b/packages/ledger/src/copy-store.ts
@@ -1,31 +1,31 @@
-/** Copies of other instances' pending bills that this instance holds. */
+/** Stores copies of other instances' pending bills. */
 import * as purify from 'purify-ts';
 import type * as ports from '@amaranthknot/ports';
 import type * as billTypes from './bill.js';
 import type * as copyQueue from './copy-queue.js';
 
-/** Bounds of the copies held. */
+/** Dependencies and settings of a `CopyStore`. */
 export interface CopyStoreOptions {
   readonly clock: ports.Clock;
-  /** Bills held for all owners; past it new copies are not taken. */
+  /** Maximum number of bills for all owners; further copies are refused. */
   readonly maxBills?: number;
 }
 
 /**
- * As many as an instance keeps of its own, about 33 MB, as
- * received strings are not shared. Past it the owner
- * finds another peer, or writes the bill before the end of the answer.
+ * As many as an instance may have pending of its own; about 33 MB, because
+ * received strings are not shared between bills. An owner whose copies are
+ * refused finds another peer, or writes the bill before it ends the answer.
  */
 export const DEFAULT_MAX_STORED_BILLS = 50_000;
 
 /**
- * How long an owner may leave copies unreleased before its holder writes them,
- * in milliseconds. It covers a release that was lost, whose copies would stay
- * for ever; recovery is safe while the owner lives.
+ * Time without a message from an owner after which its copies are recovered, in
+ * milliseconds. Otherwise copies whose release was lost would stay for ever.
+ * Recovery is safe while the owner is alive.
  */
 export const MAX_UNRELEASED_MS = 3_600_000;
 
-/** Writes copies of an owner, see `BillLedger.recover`. */
+/** Writes an owner's bills to the object API, as `BillLedger.recover` does. */
 export type BillRecovery = (
   incarnation: string,
   pending: readonly billTypes.PendingBill[],
@@ -36,24 +36,29 @@
   lastContactMs: number;
 }
 
-/** Holds copies by owner until they are released or recovered. */
+/** Stores copies by owner until they are released or recovered. */
 export class CopyStore {
   private readonly owners = new Map<string, OwnerCopies>();
   private count = 0;
 
   constructor(private readonly options: CopyStoreOptions) {}
 
-  /** Bills held for all owners. */
+  /** Number of bills stored for all owners. */
   get size(): number {
     return this.count;
   }
 
-  /** Incarnations whose bills are held. */
+  /** Incarnations whose bills are stored here. */
   ownerIncarnations(): readonly string[] {
     return [...this.owners.keys()];
   }
 
-  /** Takes a batch whole or, past the bound, not at all. */
+  /**
+   * Stores all bills of a batch, or none if they would exceed `maxBills`, and
+   * deletes the copies of its written lanes.
+   *
+   * @returns whether the bills were stored
+   */
   store(batch: copyQueue.CopyBatch): boolean {
     this.release(batch.incarnation, new Set(batch.writtenLanes));
     const {maxBills = DEFAULT_MAX_STORED_BILLS} = this.options;
@@ -75,15 +80,16 @@
     return true;
   }
 
-  /** Copies held for an owner. */
+  /** Copies stored for an owner. */
   listPending(incarnation: string): readonly billTypes.PendingBill[] {
     return [...(this.owners.get(incarnation)?.bills.values() ?? [])];
   }
 
   /**
-   * Recovers the bills of owners that `isDead`, or that left copies
-   * unreleased for long. Call it every few seconds, jittered; an owner whose
-   * recovery fails is kept for the next time.
+   * Recovers the bills of owners for which `isDead` holds, or which have sent
+   * nothing for `MAX_UNRELEASED_MS`. Call it every few seconds, with jitter. It
+   * stops at the first failure and keeps the remaining copies for the next
+   * call.
    *
    * @returns number of bills recovered
    */
@@ -107,7 +113,7 @@
     return recovered;
   }
 
-  /** Bills that came while a recovery ran stay. */
+  /** Removes recovered bills; keeps those that arrived during the recovery. */
   private remove(
     incarnation: string,
     recovered: readonly billTypes.PendingBill[],
--- a/packages/ledger/src/drain-ledger.ts
+++ b/packages/ledger/src/drain-ledger.ts
@@ -1,29 +1,29 @@
-/** The ledger's part of a graceful shutdown. */
+/** Writes all bills and copies during a graceful shutdown. */
 import type * as ports from '@amaranthknot/ports';
 import type * as billLedger from './bill-ledger.js';
 import type * as copyStore from './copy-store.js';
 
-/** What a shutdown of the ledger works with. */
+/** Dependencies and settings of `drainLedger`. */
 export interface DrainLedgerOptions {
   readonly clock: ports.Clock;
   readonly random: () => number;
   readonly bills: billLedger.BillLedger;
   readonly holder: copyStore.CopyStore;
-  /** Longest time for it, in milliseconds. */
+  /** Time after which no further attempt starts, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** Mean wait before another try while the platform is out. */
+/** Mean delay between attempts while the platform is down, in milliseconds. */
 const RETRY_INTERVAL_MS = 1_000;
 
 /**
- * Writes this instance's bills and those it holds for peers; call it after the
- * last answer and before leaving. The copies held are written, not handed on:
- * 1,200 restarts a day would otherwise each leave owners short of a copy until
- * they notice.
+ * Writes this instance's bills and the copies that it holds for peers. Call it
+ * after the last answer and before the instance leaves. The copies are written
+ * because each of 1,200 restarts a day would otherwise leave owners one copy
+ * short until they notice.
  *
- * @returns whether nothing is left. If not, the platform is out, and peers
- *   recover what this instance leaves as after a failure.
+ * @returns whether nothing is left. If false, the platform is down, and peers
+ *   recover this instance's bills as they do after a crash.
  */
 export const drainLedger = async (
   options: DrainLedgerOptions,
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -1,4 +1,4 @@
-/** Request identity, claims and bills. */
+/** Request identities, claims and bills. */
 export * from './bill-limits.js';
 export * from './bill.js';
 export * from './bill-ledger.js';
--- a/packages/ledger/src/read-bills.ts
+++ b/packages/ledger/src/read-bills.ts
@@ -1,28 +1,28 @@
-/** Reads and sums the bills of a period. */
+/** Reads the bills of a period and computes their totals. */
 import type * as purify from 'purify-ts';
 import type * as ports from '@amaranthknot/ports';
 import * as billTypes from './bill.js';
 
-/** Bills of a period, each request identity once. */
+/** Bills of a period, one per request identity. */
 export interface BillSummary {
   readonly bills: readonly billTypes.Bill[];
   readonly cost: number;
   readonly tokens: number;
   readonly costByWorkspace: ReadonlyMap<string, number>;
-  /** Bills left out because their identity was billed before. */
+  /** Number of bills left out because their identity has an earlier bill. */
   readonly duplicates: number;
-  /** Objects that are no segments; their bills are not in the sum. */
+  /** Number of malformed segment objects; their bills are not in the totals. */
   readonly unreadable: number;
 }
 
 /**
- * Reads all bills whose lane starts with `prefix` (an hour such as
- * `2026-12-02t23`; all by default).
+ * Reads all bills whose lane starts with `prefix`, an hour such as
+ * `2026-12-02t23`; all bills by default.
  *
- * Counting by identity is the last guard, for a caller that retried an
- * idempotent request on two instances: each wrote a bill of its own, in lanes
- * that do not know of each other. The earliest bill counts, by time and then
- * by place, so that all readers agree; the others are reported.
+ * A caller may retry an idempotent request on another instance, and each of the
+ * two writes a bill to a lane of its own. Only the earliest bill of an identity
+ * counts, by time and then by position in the listing, so that all readers
+ * agree; the others are reported as duplicates.
  */
 export const readBills = async (
   store: ports.ObjectStore,
--- a/packages/ledger/src/replica-selection.ts
+++ b/packages/ledger/src/replica-selection.ts
@@ -1,6 +1,6 @@
-/** Which peers hold copies of an instance's pending bills. */
+/** Selects the peers that hold copies of an instance's pending bills. */
 
-/** A live peer in another zone. */
+/** A live peer that is not in the owner's zone. */
 export interface ReplicaCandidate {
   /** Incarnation of the peer. */
   readonly id: string;
@@ -8,11 +8,12 @@
 }
 
 /**
- * Chooses replicas from live peers.
+ * Chooses replicas among live peers.
  *
- * @param current replicas that hold all pending bills now, by id
- * @param candidates live peers in other zones, the preferred first
+ * @param current ids of the replicas that hold all pending bills now
+ * @param candidates live peers in other zones, best first
  * @param quorum number of replicas wanted
+ * @returns ids of the chosen replicas; fewer than `quorum` if there are no more
  */
 export type ReplicaSelector = (
   current: readonly string[],
@@ -21,9 +22,8 @@
 ) => readonly string[];
 
 /**
- * Adds candidates up to the quorum, each in a zone that holds no copy yet
- * while there is one: an availability zone that fails together with the owner
- * must not take all copies with it.
+ * Adds candidates up to the quorum, preferring zones that hold no copy yet: if
+ * one availability zone fails together with the owner, a copy must survive.
  */
 const fillQuorum = (
   kept: readonly ReplicaCandidate[],
@@ -54,16 +54,17 @@
   );
 
 /**
- * Keeps live replicas wherever they rank, and adds others only below the
+ * Keeps live replicas regardless of their rank, and adds others only below the
  * quorum (loosely coupled replicas, after Kim and Park, "Reducing Data
  * Replication Overhead in DHT Based Peer-to-Peer System", 2006).
  *
  * Load: 87 failures and 1,200 restarts a day among 1,000 instances. Following
- * the ranking copies all pending bills whenever a better-ranked peer joins,
- * though the old copies are as good. Bench `copies` compares the two.
+ * the ranking would copy all pending bills again whenever a better-ranked peer
+ * joins, although the existing copies are as good. Bench `copies` compares
+ * both.
  *
- * Replicas that share a zone do not count as a quorum once another zone is
- * there: they were chosen while that zone was away, and would be lost at once.
+ * Replicas that share a zone, chosen while no other zone was available, are not
+ * a quorum once another zone is back: one zone failure would lose both.
  */
 export const selectStickyReplicas: ReplicaSelector = (
   current,
@@ -76,7 +77,7 @@
   return fillQuorum(kept, candidates, quorum);
 };
 
-/** Follows the ranking at each change: the baseline of bench `copies`. */
+/** Always takes the best-ranked peers; the baseline of bench `copies`. */
 export const selectRankedReplicas: ReplicaSelector = (
   _current,
   candidates,
--- a/packages/ledger/src/request-identity.ts
+++ b/packages/ledger/src/request-identity.ts
@@ -1,25 +1,25 @@
 /**
- * Identity of a request: what claims and bills are kept under, on whichever
- * instance a caller's retry arrives.
+ * Identity of a request: the key of its claim and bill, equal on every instance
+ * that a caller's retry reaches.
  */
 import * as crypto from 'node:crypto';
 
 /**
- * Bytes of the digest kept in a name. 160 bits make an accidental collision
- * at 15,000 requests/s over years negligible and keep copies of bills short.
+ * Bytes of the digest in a name. With 160 bits, accidental collisions are
+ * negligible over years at 15,000 requests/s, and copies of bills stay short.
  */
 const NAME_BYTES = 20;
 
 /** Identity of one request of one workspace. */
 export interface RequestIdentity {
   readonly workspace: string;
-  /** Lower-case hex, safe as an object name; equal for equal identities. */
+  /** Lower-case hex, valid as an object name; equal for equal identities. */
   readonly name: string;
-  /** Whether the caller chose it, so that its retries can be recognised. */
+  /** Whether the caller sent a key, so that its retries can be recognized. */
   readonly keyed: boolean;
 }
 
-/** Parts are length-prefixed, so that no two pairs share an encoding. */
+/** Length-prefixes each part, so that different parts never encode equally. */
 const hashParts = (parts: readonly string[]): string => {
   const hash = crypto.createHash('sha256');
   for (const part of parts) {
@@ -31,8 +31,8 @@
 
 /**
  * Derives a request's identity from the caller's idempotency key, or from
- * `freshId`, a new random id, when the caller sent none. The two never share
- * a name: a caller cannot choose a key that meets a random id.
+ * `freshId`, a new random id, when the caller sent none. The two are hashed
+ * with different tags, so that no key can collide with a random id.
  */
 export const identifyRequest = (
   workspace: string,
@@ -46,9 +46,9 @@
 };
 
 /**
- * Fingerprint of a request's body, so that one key with two bodies is seen.
+ * Fingerprint of a request, to detect one key used for different requests.
  *
- * @param parts what makes two requests the same, such as method, path, body
+ * @param parts what identifies the request, such as method, path and body
  */
 export const fingerprintRequest = (...parts: readonly string[]): string =>
   hashParts(parts);
--- a/packages/ledger/src/util/back-off.ts
+++ b/packages/ledger/src/util/back-off.ts
@@ -1,6 +1,6 @@
 import type * as ports from '@amaranthknot/ports';
 
-/** Waits before round `attempt`: not before the first, then doubling, jittered. */
+/** Waits before round `attempt` (from 0): not at 0, then doubling, jittered. */
 export const backOff = async (
   options: {readonly clock: ports.Clock; readonly random: () => number},
   backoffMs: number,
--- a/packages/ledger/src/util/call-with-timeout.ts
+++ b/packages/ledger/src/util/call-with-timeout.ts
@@ -2,8 +2,8 @@
 import type * as ports from '@amaranthknot/ports';
 
 /**
- * Bounds a call to the object API in time. A call that takes longer counts as
- * `unknown`: its write may have taken effect, or may still do so later.
+ * Adds a timeout to a call to the object API. A call that times out fails with
+ * `unknown`: its write may have taken effect, or may still do so.
  */
 export const callWithTimeout = async <T>(
   clock: ports.Clock,
@@ -14,7 +14,10 @@
   const timeout = clock
     .sleep(timeoutMs, answered.signal)
     .then((): ports.StoreResult<T> =>
-      purify.Left({code: 'unknown', message: `no answer in ${timeoutMs} ms`}),
+      purify.Left({
+        code: 'unknown',
+        message: `no answer within ${timeoutMs} ms`,
+      }),
     );
   const result = await Promise.race([call, timeout]);
   answered.abort();
--- a/packages/ledger/src/void-tokens.ts
+++ b/packages/ledger/src/void-tokens.ts
@@ -1,12 +1,12 @@
-/** Owner tokens of attempts that sent nothing and never will. */
+/** Remembers owner tokens of attempts that sent nothing and never will. */
 
 /**
- * How long a void token is remembered, in milliseconds: far longer than a
- * delayed write can stay under way, and than a caller keeps retrying.
+ * How long a void token is remembered, in milliseconds: far longer than a write
+ * can be delayed, and longer than callers retry.
  */
 const VOID_RETENTION_MS = 600_000;
 
-/** Time to the first look for a void token's claim, in milliseconds. */
+/** Delay before the first check for a void token's claim, in milliseconds. */
 const INITIAL_CHECK_DELAY_MS = 1_000;
 
 interface VoidToken {
@@ -16,8 +16,9 @@
 }
 
 /**
- * A bounded memory of void tokens. A token that falls out of it only costs
- * its caller an `unknown`: a claim is never taken over without its token here.
+ * A bounded set of void tokens; the oldest are evicted. Eviction is safe: a
+ * claim is taken over only while its token is in the set, so that the caller of
+ * an evicted token gets `unknown`.
  */
 export class VoidTokens {
   private readonly tokens = new Map<string, VoidToken>();
@@ -32,7 +33,7 @@
     return this.tokens.has(owner);
   }
 
-  /** Name of the object that the token's claim would have. */
+  /** Name of the object that the token's claim has, if it exists. */
   getName(owner: string): string | undefined {
     return this.tokens.get(owner)?.name;
   }
@@ -49,9 +50,9 @@
   }
 
   /**
-   * Tokens to look for now, `limit` at most. The time between two looks at a
-   * token doubles: about ten reads in all, and most of them early, when a
-   * delayed write is likely.
+   * Tokens to check now, at most `limit`. The interval between two checks of a
+   * token doubles: about ten reads in total, most of them early, when a delayed
+   * write is likely.
    */
   takeDue(nowMs: number, limit: number): readonly string[] {
     this.expire(nowMs);
--- a/packages/ledger/src/write-lane.ts
+++ b/packages/ledger/src/write-lane.ts
@@ -1,37 +1,38 @@
-/** Writes bills of one lane, each exactly once, whoever writes. */
+/** Writes each bill of a lane exactly once, also with several writers. */
 import * as purify from 'purify-ts';
 import type * as ports from '@amaranthknot/ports';
 import * as billTypes from './bill.js';
 import * as callWithTimeout from './util/call-with-timeout.js';
 
-/** What writing a lane needs. */
+/** Dependencies and settings of `writeLane`. */
 export interface LaneWriterOptions {
   readonly store: ports.ObjectStore;
   readonly clock: ports.Clock;
-  /** Time of one call to the object API, in milliseconds. */
+  /** Timeout of one call to the object API, in milliseconds. */
   readonly callTimeoutMs: number;
-  /** Most bills in one segment object. */
+  /** Maximum number of bills in one segment object. */
   readonly maxSegmentBills: number;
 }
 
-/** Calls spent on one lane before its writer gives up until the next time. */
-const MAX_CALLS = 16;
+/** Maximum number of segments tried in one call of `writeLane`. */
+const MAX_SEGMENTS = 16;
 
-/** Bills of a lane that are certainly in the object API now, by identity. */
+/** Identities of the bills that are known to be in the object API. */
 export type WrittenBills = ReadonlySet<string>;
 
 /**
- * Writes the bills of one lane that no segment of it holds yet.
+ * Writes those bills of a lane that none of its segments holds yet.
  *
- * Guards against a bill written twice: by an owner whose create took effect
- * without an answer, by two instances which recover a dead owner's bills, and
- * by an owner that was only thought dead. Segments of a lane are created in
- * order and never changed, and a writer creates index `i` only after it has
- * read `0..i-1`; so a bill that one writer has put into a segment is seen by
- * each later one, also when their sets of bills differ.
+ * Prevents writing a bill twice: by an owner whose create took effect although
+ * its answer was lost, by two instances that recover the same owner's bills,
+ * and by an owner that was wrongly considered dead. Segments of a lane are
+ * created in order and never updated, and a writer creates segment `i` only
+ * after it has read or created segments `0..i-1`. Each later writer therefore
+ * sees every bill that an earlier one has written, also when their sets of
+ * bills differ.
  *
- * @returns Left when the platform fails; bills already written stay written
- *   and a later call finds them.
+ * @returns Left when the platform fails or `MAX_SEGMENTS` is reached; bills
+ *   already written stay written, and a later call finds them
  */
 export const writeLane = async (
   options: LaneWriterOptions,
@@ -40,7 +41,7 @@
 ): Promise<purify.Either<ports.StoreError, WrittenBills>> => {
   const written = new Set<string>();
   let index = 0;
-  for (let call = 0; call < MAX_CALLS; call++) {
+  for (let attempt = 0; attempt < MAX_SEGMENTS; attempt++) {
     const remaining = bills.filter(bill => !written.has(bill.identity));
     if (remaining.length === 0) {
       return purify.Right(written);
@@ -58,7 +59,7 @@
   }
   return purify.Left({
     code: 'unavailable',
-    message: `${lane} needs more calls`,
+    message: `lane ${lane}: bills left after ${MAX_SEGMENTS} segments`,
   });
 };
 
@@ -91,6 +92,9 @@
     const existing = billTypes.readBillSegment(object.value);
     return existing
       ? purify.Right(existing.bills)
-      : purify.Left({code: 'unavailable', message: `${name} is no segment`});
+      : purify.Left({
+          code: 'unavailable',
+          message: `object ${name} is not a bill segment`,
+        });
   });
 };
--- a/packages/ledger/tests/bill-ledger.test.ts
+++ b/packages/ledger/tests/bill-ledger.test.ts
@@ -8,7 +8,7 @@
 const identitiesOf = (bills: readonly ledger.Bill[]): readonly string[] =>
   bills.map(bill => bill.identity).sort();
 
-/** Bills of one lane, as an owner copies them. */
+/** Pending bills of one lane of an owner. */
 const createPending = (
   bills: readonly ledger.Bill[],
   incarnation = 'instance-a',
@@ -28,7 +28,7 @@
   );
 
 describe('BillLedger', () => {
-  it('writes nothing before the flush when peers hold copies', async () => {
+  it('writes nothing before the flush if enough peers hold copies', async () => {
     const fixture = fixtures.createFixture();
     const billLedger = fixtures.createBillLedger(fixture);
     const results = await recordAll(
@@ -42,9 +42,9 @@
     expect(fixture.store.calls.create).to.equal(1);
   });
 
-  // An instance without peers answers and is killed before its next segment:
-  // the caller has the answer, and no one else has the bill.
-  it('writes before the answer ends when too few peers hold it', async () => {
+  // Without copies, an instance that is killed after its answer and before its
+  // next segment would lose the bill.
+  it('writes a bill before the answer ends if too few peers hold it', async () => {
     const fixture = fixtures.createFixture();
     const billLedger = fixtures.createBillLedger(fixture, {
       copyToPeers: () => Promise.resolve(0),
@@ -59,10 +59,9 @@
     expect(fixture.store.calls.create).to.equal(1);
   });
 
-  // Neither peers nor platform: an answer ended now could lose its bill with
-  // this instance. It is withheld, and new requests are refused until one of
-  // the two is back.
-  it('withholds an answer that only it could bill', async () => {
+  // With neither peers nor the platform available, the bill of an answer would
+  // be lost with this instance. New requests are refused until one is back.
+  it('refuses requests while only it holds a bill', async () => {
     const fixture = fixtures.createFixture();
     let copies = 0;
     const billLedger = fixtures.createBillLedger(fixture, {
@@ -83,7 +82,7 @@
     stop.abort();
   });
 
-  it('refuses new requests past the bound of pending bills', async () => {
+  it('refuses new requests while maxPending bills are pending', async () => {
     const fixture = fixtures.createFixture();
     const billLedger = fixtures.createBillLedger(fixture, {
       limits: {maxPending: 2},
@@ -96,18 +95,18 @@
     expect(billLedger.mayAccept().isRight()).to.equal(true);
   });
 
-  // A segment's create takes effect, its answer is lost, and the owner writes
-  // again, by then with more bills: each must stand once.
+  // The answer to a create is lost or refused, and the owner retries with more
+  // bills than before: each bill must be stored once.
   const creates: readonly {
     readonly title: string;
     readonly fault: fakes.StoreFault;
   }[] = [
     {title: 'took effect without an answer', fault: 'lost_after'},
-    {title: 'was lost on its way', fault: 'lost_before'},
+    {title: 'was lost before it took effect', fault: 'lost_before'},
     {title: 'was refused', fault: 'down'},
   ];
   for (const {title, fault} of creates) {
-    it(`bills once after a create that ${title}`, async () => {
+    it(`stores each bill once after a create that ${title}`, async () => {
       const fixture = fixtures.createFixture();
       const billLedger = fixtures.createBillLedger(fixture);
       const bills = fixtures.createBills(5);
@@ -121,11 +120,10 @@
     });
   }
 
-  // Two peers recover one owner's bills, each with copies the other lacks,
-  // while the owner was only paused and writes as well. Taking a conflict for
-  // "already written" would lose what the first writer did not have; names of
-  // their own would bill twice.
-  it('bills once when two peers and the owner write one lane', async () => {
+  // Two peers with different copies recover the bills of an owner that was only
+  // paused and writes as well. Treating a conflict as "already written" would
+  // lose bills; separate segment names would store them twice.
+  it('stores each bill once if two peers and the owner write a lane', async () => {
     const fixture = fixtures.createFixture(() => 3);
     const bills = fixtures.createBills(6);
     const owner = fixtures.createBillLedger(fixture);
@@ -142,7 +140,7 @@
     expect(billed).to.deep.equal(identitiesOf(bills));
   });
 
-  it('does not write copies of another owner', async () => {
+  it('does not recover copies of another owner', async () => {
     const fixture = fixtures.createFixture();
     const billLedger = fixtures.createBillLedger(fixture);
     const pending = createPending(fixtures.createBills(1), 'instance-z');
@@ -150,10 +148,10 @@
     expect(await fixtures.listBilled(fixture)).to.deep.equal([]);
   });
 
-  // The platform is out for ten minutes at 15 answers a second and comes back.
-  // No bill is lost or doubled, and the instance does not write its backlog at
-  // once: with a thousand instances doing so, the platform would fall again.
-  it('drains ten minutes of outage at its usual pace', async () => {
+  // After a ten-minute outage at 15 answers/s no bill may be lost or stored
+  // twice. If a thousand instances wrote their backlogs at once, the platform
+  // would fail again.
+  it('drains the backlog of a long outage at a limited rate', async () => {
     const fixture = fixtures.createFixture(() => 3);
     const billLedger = fixtures.createBillLedger(fixture);
     const stop = new AbortController();
@@ -187,7 +185,7 @@
     writtenLanes,
   });
 
-  it('forgets the copies of a written lane', () => {
+  it('deletes the copies of a written lane', () => {
     const {clock} = fixtures.createFixture();
     const copyStore = new ledger.CopyStore({clock});
     const bills = fixtures.createBills(2);
@@ -198,7 +196,7 @@
     expect(copyStore.size).to.equal(0);
   });
 
-  it('takes a batch whole or not at all', () => {
+  it('stores no bill of a batch that exceeds maxBills', () => {
     const {clock} = fixtures.createFixture();
     const copyStore = new ledger.CopyStore({clock, maxBills: 2});
     expect(copyStore.store(createBatch(fixtures.createBills(3)))).to.equal(
@@ -207,7 +205,7 @@
     expect(copyStore.size).to.equal(0);
   });
 
-  it('keeps copies whose recovery fails, for the next time', async () => {
+  it('keeps copies whose recovery fails and recovers them later', async () => {
     const fixture = fixtures.createFixture();
     const copyStore = new ledger.CopyStore(fixture);
     const billLedger = fixtures.createBillLedger(fixture, {
@@ -229,9 +227,9 @@
 });
 
 describe('readBills', () => {
-  // A caller retries a chat request under one key on a second instance, which
-  // answers too: two bills under one identity, of which one may count.
-  it('counts an identity once and shows the others', async () => {
+  // A caller retries a chat request with the same key on a second instance,
+  // which answers as well: there are two bills with one identity.
+  it('counts the earliest bill of an identity, reports duplicates', async () => {
     const fixture = fixtures.createFixture();
     const late = fixtures.createBill({cost: 5, atWallMs: 2});
     const early = fixtures.createBill({cost: 3, atWallMs: 1});
--- a/packages/ledger/tests/bill-replicator.test.ts
+++ b/packages/ledger/tests/bill-replicator.test.ts
@@ -14,37 +14,37 @@
   readonly chosen: readonly string[];
 }[] = [
   {
-    title: 'loosely: keeps live replicas when a better one joins',
+    title: 'sticky: keeps live replicas when a better-ranked peer joins',
     choose: ledger.selectStickyReplicas,
     current: ['b', 'c'],
     candidates: ['a', 'b', 'c'].map(id => createPeer(id)),
     chosen: ['b', 'c'],
   },
   {
-    title: 'tightly: follows the ranking',
+    title: 'ranked: follows the ranking',
     choose: ledger.selectRankedReplicas,
     current: ['b', 'c'],
     candidates: ['a', 'b', 'c'].map(id => createPeer(id)),
     chosen: ['a', 'b'],
   },
   {
-    title: 'loosely: replaces only the one that left',
+    title: 'sticky: replaces only the replica that left',
     choose: ledger.selectStickyReplicas,
     current: ['b', 'c'],
     candidates: ['a', 'c', 'd'].map(id => createPeer(id)),
     chosen: ['c', 'a'],
   },
   {
-    title: 'prefers a zone without a copy',
+    title: 'sticky: prefers a zone without a copy',
     choose: ledger.selectStickyReplicas,
     current: [],
     candidates: [createPeer('a', 'x'), createPeer('b', 'x'), createPeer('c')],
     chosen: ['a', 'c'],
   },
   {
-    // Both copies were made while zone y was away. It comes back, then zone x
-    // dies together with the owner, and its answered bills are gone.
-    title: 'loosely: moves a copy when another zone comes back',
+    // Both copies were made while zone y was down. If both stayed in zone x, a
+    // failure of zone x together with the owner would lose the bills.
+    title: 'sticky: moves a copy when another zone comes back',
     choose: ledger.selectStickyReplicas,
     current: ['a', 'b'],
     candidates: [
@@ -55,7 +55,7 @@
     chosen: ['a', 'c'],
   },
   {
-    title: 'takes two in one zone when there is no other',
+    title: 'sticky: takes two peers in one zone when there is no other zone',
     choose: ledger.selectStickyReplicas,
     current: [],
     candidates: [createPeer('a', 'x'), createPeer('b', 'x')],
@@ -63,7 +63,7 @@
   },
 ];
 
-describe('choose replicas', () => {
+describe('ReplicaSelector', () => {
   for (const {title, choose, current, candidates, chosen} of choices) {
     it(title, () => {
       expect(choose(current, candidates, 2)).to.deep.equal(chosen);
@@ -72,7 +72,7 @@
 });
 
 describe('BillReplicator', () => {
-  /** Copies to peers of which those in `dead` do not answer. */
+  /** A replicator to peers of which those in `dead` accept no batch. */
   const createCopies = (ids: readonly string[]) => {
     const pending = fixtures
       .createBills(3)
@@ -96,16 +96,16 @@
     return {copies, dead, sent, batch};
   };
 
-  it('sends everything pending to a new replica, then only new bills', async () => {
+  it('sends all pending bills to a new replica, then new ones only', async () => {
     const {copies, sent, batch} = createCopies(['a', 'b']);
     expect(await copies.replicate(batch)).to.equal(2);
     await copies.replicate(batch);
     expect(sent.map(entry => entry.bills)).to.deep.equal([3, 3, 1, 1]);
   });
 
-  // A replica dies unnoticed; the next answer would end with one copy only,
-  // and the earlier bills would have no second one either.
-  it('replaces a replica that does not answer', async () => {
+  // Without a replacement, the next bill and all earlier ones would have only
+  // one copy.
+  it('replaces a replica that does not accept a batch', async () => {
     const {copies, dead, sent, batch} = createCopies(['a', 'b', 'c']);
     await copies.replicate(batch);
     dead.add('a');
@@ -113,13 +113,13 @@
     expect(sent.at(-1)).to.deep.equal({peer: 'c', bills: 3});
   });
 
-  it('counts only peers that hold the batch', async () => {
+  it('counts only peers that accepted the batch', async () => {
     const {copies, dead, batch} = createCopies(['a', 'b']);
     dead.add('b');
     expect(await copies.replicate(batch)).to.equal(1);
   });
 
-  it('sends nothing on a change that leaves the quorum', async () => {
+  it('sends nothing on a refresh that keeps the replicas', async () => {
     const {copies, sent, batch} = createCopies(['a', 'b', 'c']);
     await copies.replicate(batch);
     const before = sent.length;
--- a/packages/ledger/tests/claim-ledger.test.ts
+++ b/packages/ledger/tests/claim-ledger.test.ts
@@ -28,7 +28,9 @@
   return result.claim;
 };
 
-/** Two instances, the second of which can ask the first. */
+/**
+ * Ledgers of two instances; the second can query the first for claim owners.
+ */
 const createPair = (fixture: fixtures.Fixture) => {
   const first = fixtures.createClaimLedger(fixture);
   const second = fixtures.createClaimLedger(fixture, {
@@ -40,15 +42,15 @@
 };
 
 describe('ClaimLedger', () => {
-  it('grants one of many attempts at one moment', async () => {
+  it('grants one of several concurrent attempts', async () => {
     const fixture = fixtures.createFixture();
-    const keepers = ['a', 'b', 'c'].map(incarnation =>
+    const claimLedgers = ['a', 'b', 'c'].map(incarnation =>
       fixtures.createClaimLedger(fixture, {incarnation}),
     );
     const results = await fixtures.settle(
       fixture,
       Promise.all(
-        keepers.map(claimLedger =>
+        claimLedgers.map(claimLedger =>
           claimLedger.claim(fixtures.createIdentity(), 'body'),
         ),
       ),
@@ -57,7 +59,7 @@
     expect(kinds).to.deep.equal(['already', 'already', 'granted']);
   });
 
-  it('gives a retry the recorded answer', async () => {
+  it('returns the recorded answer to a retry on another instance', async () => {
     const fixture = fixtures.createFixture();
     const {first, second} = createPair(fixture);
     const claim = expectGranted(await claimOnce(fixture, first));
@@ -69,7 +71,7 @@
     });
   });
 
-  it('keeps the digest of an answer past the bound', async () => {
+  it('stores a digest of an answer larger than maxOutcomeBytes', async () => {
     const fixture = fixtures.createFixture();
     const claimLedger = fixtures.createClaimLedger(fixture, {
       limits: {maxOutcomeBytes: 4},
@@ -82,7 +84,7 @@
     expect(kept.extract()).to.include({kind: 'digest', bytes: 7});
   });
 
-  it('sees one key with two bodies', async () => {
+  it('reports a mismatch when a key is reused with another body', async () => {
     const fixture = fixtures.createFixture();
     const {first, second} = createPair(fixture);
     await claimOnce(fixture, first);
@@ -91,9 +93,8 @@
     );
   });
 
-  // A caller sends a booking; the claim is created but the platform's answer
-  // is lost. Refusing would be true, but sending without a look could run the
-  // booking twice: the owner token read back decides.
+  // When the answer to a create is lost, sending without reading the claim back
+  // could run a booking twice. The owner token that is read back decides.
   const settled: readonly {
     readonly title: string;
     readonly faults: readonly fakes.StoreFault[];
@@ -104,16 +105,20 @@
       faults: ['lost_after'],
       kind: 'granted',
     },
-    {title: 'lost before', faults: ['lost_before'], kind: 'granted'},
+    {
+      title: 'lost before it took effect',
+      faults: ['lost_before'],
+      kind: 'granted',
+    },
     {title: 'refused once', faults: ['down'], kind: 'granted'},
     {
-      title: 'refused each time',
+      title: 'refused on each attempt',
       faults: ['down', 'down', 'down', 'down'],
       kind: 'refused',
     },
   ];
   for (const {title, faults, kind} of settled) {
-    it(`settles a create ${title}: ${kind}`, async () => {
+    it(`settles a create that is ${title}: ${kind}`, async () => {
       const fixture = fixtures.createFixture();
       fixtures.failNext(fixture, 'create', ...faults);
       const claimLedger = fixtures.createClaimLedger(fixture);
@@ -121,10 +126,10 @@
     });
   }
 
-  // A create takes effect, but its answer and each read of it are lost. The
-  // caller is told not_run. Its retry on another instance meets the claim and
-  // would get `unknown` for ever, although nothing ran.
-  it('lets a retry take over a claim that its living owner gave up', async () => {
+  // A create takes effect, but its answer and all reads are lost, so that the
+  // caller gets `not_run`. Its retry on another instance finds the claim and
+  // would always get `unknown`, although nothing ran.
+  it('lets a retry take over a claim that its live owner gave up', async () => {
     const fixture = fixtures.createFixture();
     const {first, second} = createPair(fixture);
     fixture.store.fault = operation =>
@@ -136,8 +141,8 @@
     expect((await claimOnce(fixture, first)).kind).to.equal('already');
   });
 
-  // The owner of a claim is killed, perhaps after its send. No one can tell
-  // whether the booking ran, so no retry may send it.
+  // The owner may have crashed after it sent the request; whether the booking
+  // ran is unknown, so that no retry may send it.
   it('never takes over a claim whose owner does not answer', async () => {
     const fixture = fixtures.createFixture();
     await claimOnce(fixture, fixtures.createClaimLedger(fixture));
@@ -151,11 +156,10 @@
     });
   });
 
-  // A create is so slow that its attempt gives up and deletes the claim that
-  // its second create made. Then the first create takes effect: the request
-  // stays claimed for good by an instance that sent nothing (histories, seed
-  // 90: told not_run, then `unknown` for ever).
-  it('deletes a claim that a delayed create makes after its end', async () => {
+  // The first create is delayed; the second one is granted, abandoned and
+  // deleted. Then the first takes effect, and retries of a request that got
+  // `not_run` would always get `unknown` (found by histories, seed 90).
+  it('deletes a claim that a delayed create makes after abandon', async () => {
     const delays = [4_000];
     const fixture = fixtures.createFixture(() => delays.shift() ?? 1);
     const claimLedger = fixtures.createClaimLedger(fixture);
@@ -170,7 +174,7 @@
     expect(fixture.store.count(ledger.CLAIM_KIND)).to.equal(0);
   });
 
-  it('frees an abandoned claim for another attempt', async () => {
+  it('grants an abandoned claim to another attempt', async () => {
     const fixture = fixtures.createFixture();
     const {first, second} = createPair(fixture);
     const claim = expectGranted(await claimOnce(fixture, first));
@@ -179,9 +183,9 @@
     expect(first.voidCount).to.equal(0);
   });
 
-  // The platform is out at lunch: without a memory of it each request waits
-  // for its own timeouts, and callers learn of it seconds late.
-  it('refuses at once and without calls while the platform is out', async () => {
+  // Without the circuit breaker each request would wait for its own timeouts,
+  // and callers would be refused seconds late.
+  it('refuses without calls while the platform is down', async () => {
     const fixture = fixtures.createFixture();
     fixture.store.fault = () => 'down';
     const claimLedger = fixtures.createClaimLedger(fixture);
@@ -196,7 +200,7 @@
     expect(fixture.store.calls).to.deep.equal(calls);
   });
 
-  it('refuses past the bound of claims in progress', async () => {
+  it('refuses claims beyond maxInProgress', async () => {
     const fixture = fixtures.createFixture(() => 100);
     const claimLedger = fixtures.createClaimLedger(fixture, {
       limits: {maxInProgress: 1},
@@ -210,9 +214,9 @@
     expect((await fixtures.settle(fixture, first)).kind).to.equal('granted');
   });
 
-  // A caller gives the same key in two workspaces, or a key that looks like
-  // another pair's encoding; sharing a claim would answer one with the other.
-  it('names identities apart', () => {
+  // If two workspaces, or a key and a random id, shared a name, one request
+  // would get the answer to the other.
+  it('gives different identities different names', () => {
     const names = [
       ledger.identifyRequest('a', 'bc', 'x'),
       ledger.identifyRequest('ab', 'c', 'x'),
--- a/packages/ledger/tests/drain-ledger.test.ts
+++ b/packages/ledger/tests/drain-ledger.test.ts
@@ -29,9 +29,9 @@
 };
 
 describe('drainLedger', () => {
-  // An instance is replaced in a planned stop. The owner of copies that it
-  // held dies before it has noticed: its answered bill would be gone.
-  it('writes its own bills and the copies it holds', async () => {
+  // If the copies were dropped and their owner crashed before it noticed, its
+  // bills would be lost.
+  it('writes its own bills and the copies that it holds', async () => {
     const fixture = fixtures.createFixture();
     const {bills, holder, drain} = createLeavingInstance(fixture);
     const own = fixtures.createBill({identity: 'own'});
@@ -42,7 +42,7 @@
     expect(holder.size).to.equal(0);
   });
 
-  it('waits for the platform to come back', async () => {
+  it('retries until the platform is back', async () => {
     const fixture = fixtures.createFixture();
     const {holder, drain} = createLeavingInstance(fixture);
     holder.store(createCopyBatch());
@@ -51,7 +51,7 @@
     expect(await fixtures.listBilled(fixture)).to.deep.equal(['held']);
   });
 
-  it('says so when the platform stays out', async () => {
+  it('returns false, keeps the copies if the platform stays down', async () => {
     const fixture = fixtures.createFixture();
     const {holder, drain} = createLeavingInstance(fixture);
     holder.store(createCopyBatch());
--- a/packages/ledger/tests/support/fixtures.ts
+++ b/packages/ledger/tests/support/fixtures.ts
@@ -1,7 +1,7 @@
 import * as fakes from '@amaranthknot/fakes';
 import * as ledger from '../../src/index.js';
 
-/** The platform in memory, on a virtual clock. */
+/** An object store in memory, on a virtual clock. */
 export interface Fixture {
   readonly clock: fakes.VirtualClock;
   readonly store: fakes.MemoryObjectStore;
@@ -12,7 +12,7 @@
   return {clock, store: new fakes.MemoryObjectStore({clock, delayMs})};
 };
 
-/** Lets virtual time pass until a promise settles; its value. */
+/** Advances virtual time until a promise settles; returns its value. */
 export const settle = async <T>(
   fixture: Fixture,
   promise: Promise<T>,
@@ -24,12 +24,12 @@
   };
   void promise.then(finish, finish);
   if (!(await fixture.clock.advanceUntil(() => state.done, limitMs))) {
-    throw new Error(`not settled in ${limitMs} ms of virtual time`);
+    throw new Error(`promise not settled within ${limitMs} ms of virtual time`);
   }
   return promise;
 };
 
-/** Faults for the next calls of one operation, in order; then none. */
+/** Injects faults into the next calls of one operation, in order; then none. */
 export const failNext = (
   fixture: Fixture,
   operation: fakes.StoreOperation,
@@ -88,7 +88,7 @@
     ...options,
   });
 
-/** Identities of all bills in the object API, doubled ones too. */
+/** Identities of all bills in the object API, sorted, with duplicates. */
 export const listBilled = async (
   fixture: Fixture,
 ): Promise<readonly string[]> => {
--- a/packages/ports/src/clock.ts
+++ b/packages/ports/src/clock.ts
@@ -1,14 +1,14 @@
-/** Time as the product sees it, passed in so that tests use virtual time. */
+/** Source of time; passed in, so that tests can use virtual time. */
 export interface Clock {
-  /** Monotonic time in milliseconds; never steps back. */
+  /** Monotonic time in milliseconds. */
   now(): number;
-  /** Wall time in milliseconds since the epoch; may step. */
+  /** Wall time in milliseconds since the epoch; may jump either way. */
   wallTime(): number;
   /** Resolves after `ms` milliseconds, or at once when `signal` aborts. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** The process's own clock. */
+/** The clock of this process. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wallTime: () => Date.now(),
@@ -29,18 +29,18 @@
 };
 
 /**
- * Difference between the wall clock's step and the monotonic clock's, in
- * milliseconds, from which the machine counts as having been suspended. Above
- * the drift and slewing of a wall clock between two readings.
+ * By how much the wall clock must advance more than the monotonic clock between
+ * two readings, in milliseconds, for the machine to count as suspended. It is
+ * larger than the drift and slewing of a wall clock between two readings.
  */
 const SUSPENSION_MS = 500;
 
 /**
- * A clock that goes on while the machine is suspended. The monotonic clock
- * stands still meanwhile: an instance that wakes after ten seconds would take
- * what it knew before for fresh. The wall clock shows the gap. Where somebody
- * set the wall clock ahead, time seems to have passed, and what is known is
- * confirmed again a little early.
+ * Creates a monotonic clock that includes the time for which the machine was
+ * suspended. The system's monotonic clock stops during a suspension, so that an
+ * instance that resumes after ten seconds would take its old state for fresh.
+ * The wall clock shows the gap. If the wall clock is set forward, state is only
+ * refreshed earlier than necessary.
  */
 export const createSuspendAwareClock = (clock: Clock): Clock => {
   let suspendedMs = 0;
--- a/packages/ports/src/http-client.ts
+++ b/packages/ports/src/http-client.ts
@@ -1,31 +1,31 @@
-/** HTTP to the platform: one client with kept connections, typed failures. */
+/** HTTP client of the platform, with keep-alive connections, typed failures. */
 import * as http from 'node:http';
 import * as purify from 'purify-ts';
 import * as wreck from '@hapi/wreck';
 import type * as objectStore from './object-store.js';
 
-/** Longest wait for the platform's answer, in milliseconds. */
+/** Timeout of a request to the platform, in milliseconds. */
 export const DEFAULT_TIMEOUT_MS = 2_000;
 
-/** Largest answer taken from the platform: a listing of values up to 1 MB. */
+/** Maximum size of an answer, in bytes: a listing of values of up to 1 MB. */
 const MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
-/** Where the platform is and how to authenticate to it. */
+/** Address and credentials of a platform API. */
 export interface Endpoint {
   /** Base URL without a trailing slash. */
   readonly url: string;
-  /** Sent as a bearer token; none when absent. */
+  /** Bearer token; requests are unauthenticated if it is absent. */
   readonly key?: string;
   readonly timeoutMs?: number;
 }
 
-/** An answer of the platform. */
+/** Status and parsed JSON body of an answer. */
 export interface HttpResponse {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Failures that prove that no byte of the request was taken. */
+/** Error codes that prove that no byte of the request was received. */
 const NEVER_SENT = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH']);
 
 interface NodeFailure {
@@ -38,8 +38,9 @@
   failure.code ?? failure.data?.code ?? failure.cause?.code;
 
 /**
- * Names a failed exchange. Only a refused connection proves that nothing
- * happened; a timeout or reset may have come after a write took effect.
+ * Classifies a failed request. Only a connection that was not established
+ * proves that a write did not take effect; a timeout or reset may come after it
+ * did.
  */
 const toStoreError = (failure: unknown): objectStore.StoreError => {
   const code = codeOf(failure as NodeFailure);
@@ -50,7 +51,7 @@
   return {code: 'unknown', message};
 };
 
-/** Sends requests to one platform endpoint. */
+/** Sends JSON requests to one platform API. */
 export class HttpClient {
   private readonly client: typeof wreck.default;
 
@@ -65,7 +66,7 @@
     });
   }
 
-  /** Sends one request; `extraMs` lengthens the timeout for a watch. */
+  /** Sends one request; `extraTimeoutMs` extends the timeout for a watch. */
   async send(
     method: string,
     path: string,
--- a/packages/ports/src/http-instance-list.ts
+++ b/packages/ports/src/http-instance-list.ts
@@ -1,4 +1,4 @@
-/** Adapter of the platform's instance list over HTTP and JSON. */
+/** HTTP adapter of the platform's instance list. */
 import * as purify from 'purify-ts';
 import * as zod from 'zod';
 import type * as httpClient from './http-client.js';
@@ -18,7 +18,7 @@
   ),
 });
 
-/** The instance list reached over HTTP. */
+/** Instance list that is read over HTTP. */
 export class HttpInstanceList implements instanceList.InstanceList {
   constructor(private readonly client: httpClient.HttpClient) {}
 
--- a/packages/ports/src/http-object-store.ts
+++ b/packages/ports/src/http-object-store.ts
@@ -1,4 +1,4 @@
-/** Adapter of the platform's object API over HTTP and JSON. */
+/** HTTP adapter of the platform's object API. */
 import * as purify from 'purify-ts';
 import * as zod from 'zod';
 import type * as httpClient from './http-client.js';
@@ -32,7 +32,7 @@
       return {code: 'conflict', message};
     case 429:
     case 503:
-      // Refused before any work, as the platform's page promises.
+      // The platform's documentation says that these had no effect.
       return {code: 'unavailable', message};
     default:
       return {code: 'unknown', message};
@@ -42,7 +42,7 @@
 const pathOf = (kind: string, name: string): string =>
   `/objects/${encodeURIComponent(kind)}/${encodeURIComponent(name)}`;
 
-/** Reads an answer by its schema; a malformed one counts as lost. */
+/** Parses an answer; a malformed one is `unknown`, as if it had been lost. */
 const parseResponse = <T>(
   response: httpClient.HttpResponse,
   schema: zod.ZodType<T>,
@@ -53,10 +53,13 @@
   const parsed = schema.safeParse(response.body);
   return parsed.success
     ? purify.Right(parsed.data)
-    : purify.Left({code: 'unknown', message: 'malformed answer'});
+    : purify.Left({
+        code: 'unknown',
+        message: 'the object API sent a malformed answer',
+      });
 };
 
-/** The object API reached over HTTP. */
+/** Object store that is accessed over HTTP. */
 export class HttpObjectStore implements objectStore.ObjectStore {
   constructor(private readonly client: httpClient.HttpClient) {}
 
--- a/packages/ports/src/http-rating-service.ts
+++ b/packages/ports/src/http-rating-service.ts
@@ -1,4 +1,4 @@
-/** Adapter of the rating service over HTTP and JSON. */
+/** HTTP adapter of the rating service. */
 import * as purify from 'purify-ts';
 import * as zod from 'zod';
 import type * as httpClient from './http-client.js';
@@ -15,7 +15,7 @@
 const fail = (message: string): purify.Either<objectStore.StoreError, never> =>
   purify.Left({code: 'unavailable', message});
 
-/** The rating service reached over HTTP. */
+/** Rating service that is accessed over HTTP. */
 export class HttpRatingService implements ratingService.RatingService {
   constructor(private readonly client: httpClient.HttpClient) {}
 
--- a/packages/ports/src/index.ts
+++ b/packages/ports/src/index.ts
@@ -1,4 +1,4 @@
-/** Ports to the platform, one adapter each. */
+/** Ports to the platform and the rating service, with their HTTP adapters. */
 export * from './clock.js';
 export * from './http-client.js';
 export * from './http-instance-list.js';
--- a/packages/ports/src/instance-list.ts
+++ b/packages/ports/src/instance-list.ts
@@ -1,26 +1,26 @@
-/** Port to the platform's lagging list of live and leaving instances. */
+/** Port to the platform's list of instances, which lags by seconds. */
 import type * as purify from 'purify-ts';
 import type * as objectStore from './object-store.js';
 
-/** What an instance does for the system. */
+/** Kind of process that an instance runs. */
 export type InstanceRole = 'entry' | 'engine' | 'service';
 
-/** Whether an instance takes new work. */
+/** `leaving` instances accept no new work. */
 export type InstanceState = 'live' | 'leaving';
 
-/** One row of the platform's list. */
+/** An instance as the platform lists it. */
 export interface ListedInstance {
   readonly id: string;
   readonly role: InstanceRole;
   readonly state: InstanceState;
-  /** `host:port`, the host an IP address. */
+  /** `host:port`, where the host is an IP address. */
   readonly address: string;
   readonly zone: string;
-  /** Models an engine can run, as `model@version`; a service's one name. */
+  /** Models of an engine, as `model@version`; for a service, its name only. */
   readonly serves: readonly string[];
 }
 
-/** The platform's list of instances, late by seconds. */
+/** Reads the platform's list; the result may be seconds old. */
 export interface InstanceList {
   list(): Promise<
     purify.Either<objectStore.StoreError, readonly ListedInstance[]>
--- a/packages/ports/src/object-store.ts
+++ b/packages/ports/src/object-store.ts
@@ -1,32 +1,31 @@
 /**
  * Port to the platform's object API: versioned objects, conditional updates
- * and watches. Every call counts against the platform's rate, a waiting watch
- * as one.
+ * and watches. Each call counts against the platform's rate limit; a watch
+ * counts as one call.
  */
 import type * as purify from 'purify-ts';
 
-/** An object as the platform holds it. */
+/** An object as stored by the platform. */
 export interface StoredObject {
   readonly kind: string;
   readonly name: string;
-  /** Grows with each write to the store; also serves as fencing number. */
+  /** Increases with each write to the store; also used as a fencing number. */
   readonly version: number;
   readonly value: unknown;
-  /** What the system reported about the object; absent before any report. */
+  /** Status that the system reported; absent before the first report. */
   readonly status?: unknown;
 }
 
 /**
- * Why a call gave no result.
+ * Why a call failed.
  *
  * - `conflict`: the expected version is not the current one, or the object
- *   exists already; the write did not take effect.
+ *   already exists; the write did not take effect.
  * - `not_found`: no such object.
- * - `unavailable`: the call certainly did not take effect (refused, or never
- *   sent).
+ * - `unavailable`: the call was refused or not sent; it had no effect.
  * - `unknown`: the answer was lost; a write may have taken effect.
- * - `history_gone`: the changes after the watched version are no longer kept;
- *   only a new listing helps.
+ * - `history_gone`: the changes after the watched version are no longer stored;
+ *   the caller must list the kind again.
  */
 export type StoreErrorCode =
   'conflict' | 'not_found' | 'unavailable' | 'unknown' | 'history_gone';
@@ -37,35 +36,35 @@
   readonly message: string;
 }
 
-/** Outcome of a call to the object API. */
+/** Result of a call to the object API. */
 export type StoreResult<T> = purify.Either<StoreError, T>;
 
-/** A change seen by a watch. */
+/** A change of one object, as reported by a watch. */
 export interface StoreEvent {
   readonly type: 'put' | 'delete';
   readonly object: StoredObject;
 }
 
-/** Changes seen by one watch. */
+/** Changes reported by one call of `watch`. */
 export interface StoreChanges {
   readonly events: readonly StoreEvent[];
   /** Version of the store up to which the events are complete. */
   readonly version: number;
 }
 
-/** Objects of one kind, with the store version the listing is good for. */
+/** Objects of one kind, and the store version to start a watch from. */
 export interface StoreListing {
   readonly objects: readonly StoredObject[];
   readonly version: number;
 }
 
-/** The platform's object API. */
+/** Client of the platform's object API. */
 export interface ObjectStore {
-  /** Reads one object. The platform may answer with an older version. */
+  /** Reads one object; the result may be an older version. */
   get(kind: string, name: string): Promise<StoreResult<StoredObject>>;
-  /** Lists a kind, by an optional name prefix. */
+  /** Lists the objects of a kind whose names start with `prefix`. */
   list(kind: string, prefix?: string): Promise<StoreResult<StoreListing>>;
-  /** Creates an object if absent; `conflict` when one exists. */
+  /** Creates an object; fails with `conflict` if it exists. */
   create(
     kind: string,
     name: string,
@@ -85,8 +84,8 @@
     expectedVersion: number,
   ): Promise<StoreResult<void>>;
   /**
-   * Waits for changes of a kind after `afterVersion`, for at most `waitMs`.
-   * Answers with the changes so far; none of them is a timeout.
+   * Waits up to `waitMs` for changes of a kind after `afterVersion`, and
+   * returns all of them; an empty list means that the time is over.
    */
   watch(
     kind: string,
@@ -96,7 +95,7 @@
   ): Promise<StoreResult<StoreChanges>>;
 }
 
-/** An object API that also keeps a status beside each object's value. */
+/** An object API that also stores a status beside each object's value. */
 export interface StatusStore extends ObjectStore {
   /** Replaces the status of an object whose version is `expectedVersion`. */
   updateStatus(
--- a/packages/ports/src/rating-service.ts
+++ b/packages/ports/src/rating-service.ts
@@ -1,8 +1,8 @@
-/** Port to the service that rates answers: sampled, late, some never. */
+/** Port to the service that rates sampled answers, late and not all of them. */
 import type * as purify from 'purify-ts';
 import type * as objectStore from './object-store.js';
 
-/** An answer to be rated. */
+/** An answer to be rated, with its prompt. */
 export interface RatingSample {
   readonly requestId: string;
   /** `model@version` that gave the answer. */
@@ -12,27 +12,27 @@
   readonly answer: string;
 }
 
-/** A rating, from 0 (bad) to 1 (good). */
+/** Rating of one answer, from 0 (bad) to 1 (good). */
 export interface Rating {
   readonly requestId: string;
   readonly rating: number;
 }
 
-/** Ratings given since a cursor. */
+/** Ratings made after a cursor. */
 export interface RatingBatch {
   readonly ratings: readonly Rating[];
-  /** Pass it to the next call. */
+  /** Cursor to pass to the next call. */
   readonly cursor: number;
 }
 
-/** The service that rates answers. */
+/** Client of the service that rates answers. */
 export interface RatingService {
-  /** Hands answers in; `source` names who will collect their ratings. */
+  /** Submits answers; their ratings are collected under the name `source`. */
   submit(
     source: string,
     samples: readonly RatingSample[],
   ): Promise<purify.Either<objectStore.StoreError, void>>;
-  /** Ratings of a source's answers after a cursor, 0 at the start. */
+  /** Returns the ratings of a source's answers after a cursor, 0 at first. */
   collect(
     source: string,
     cursor: number,
