--- a/packages/configuration/src/access.ts
+++ b/packages/configuration/src/access.ts
@@ -1,12 +1,12 @@
-/** Collects what all access rules together allow each workspace. */
+/** Collects the targets that all access rules together allow each workspace. */
 import type * as documents from './document.js';
 import * as tables from './document-tables.js';
 import * as targets from './target.js';
 
-/** Stands for all workspaces in a rule. */
+/** Name that means all workspaces in a rule. */
 export const ALL_WORKSPACES = '*';
 
-/** Targets by workspace, each once, in sorted order. */
+/** Allowed targets by workspace, sorted and without duplicates. */
 export type Access = ReadonlyMap<string, readonly documents.Target[]>;
 
 const listRuleWorkspaces = (
@@ -16,9 +16,9 @@
   rule.workspaces.includes(ALL_WORKSPACES) ? workspaces : rule.workspaces;
 
 /**
- * Collects the targets of each workspace. It stops one past `MAX_ALLOWED`, so
- * that a document of many rules for all workspaces is refused before it fills
- * the memory.
+ * Collects the targets of each workspace. Skips further rules once a workspace
+ * has more than `MAX_ALLOWED` targets, so that a document with many rules for
+ * all workspaces is refused before it fills the memory.
  */
 export const collectAccess = (document: tables.Tables): Access => {
   const texts = new Map<string, Set<string>>(
@@ -27,8 +27,8 @@
   for (const {rule} of document.rules) {
     for (const name of listRuleWorkspaces(rule, document.workspaces.names)) {
       const targets = texts.get(name);
-      const room = tables.MAX_ALLOWED + 1 - (targets?.size ?? 0);
-      for (const text of room > 0 ? rule.allow : []) {
+      const remaining = tables.MAX_ALLOWED + 1 - (targets?.size ?? 0);
+      for (const text of remaining > 0 ? rule.allow : []) {
         targets?.add(text);
       }
     }
--- a/packages/configuration/src/address.ts
+++ b/packages/configuration/src/address.ts
@@ -1,4 +1,4 @@
-/** Reading and writing of `IP:port`. */
+/** Parses and formats addresses of the form `IP:port`. */
 import * as net from 'node:net';
 import * as purify from 'purify-ts';
 import * as zod from 'zod';
@@ -7,7 +7,7 @@
 const MAX_PORT = 65_535;
 const ADDRESS = /^(?:\[([^\]]+)\]|([^:]+)):(\d{1,5})$/;
 
-/** Reads `192.0.2.7:8080` or `[2001:db8::7]:8080`; nothing for other text. */
+/** Parses `192.0.2.7:8080` or `[2001:db8::7]:8080`; Nothing for other text. */
 export const parseAddress = (text: string): purify.Maybe<settings.Address> => {
   const match = ADDRESS.exec(text);
   const bracketed = match?.[1];
@@ -19,15 +19,15 @@
     : purify.Nothing;
 };
 
-/** Writes an address as `parseAddress` reads it. */
+/** Formats an address so that `parseAddress` can read it. */
 export const formatAddress = ({host, port}: settings.Address): string =>
   host.includes(':') ? `[${host}]:${port}` : `${host}:${port}`;
 
-/** Whether an address means all of a machine's own, and reaches none. */
+/** Whether a host is the unspecified address, to which nobody can connect. */
 export const isUnspecified = ({host}: settings.Address): boolean =>
   host === '0.0.0.0' || /^[0:]+$/.test(host);
 
-/** Schema of an address as text. */
+/** Schema of a text that `parseAddress` can read. */
 export const addressSchema = zod
   .string()
   .refine(
--- a/packages/configuration/src/check-access.ts
+++ b/packages/configuration/src/check-access.ts
@@ -1,4 +1,4 @@
-/** Checks of access rules: what they name, and what they leave reachable. */
+/** Checks access rules: their references, and what workspaces may then run. */
 import type * as documents from './document.js';
 import type * as problems from './problem.js';
 import type * as tables from './document-tables.js';
@@ -61,7 +61,7 @@
   ),
 ];
 
-/** Whether the workspace may run any live version of a model. */
+/** Whether a workspace may run at least one active version of a model. */
 const canRun = (
   allowed: readonly documents.Target[],
   name: string,
@@ -70,7 +70,7 @@
 ): boolean => {
   const model = document.models.entries.get(name);
   if (model === undefined) {
-    return true; // Reported as dangling or misshapen already.
+    return true; // A missing or invalid model has a finding already.
   }
   return Object.entries(model.versions).some(
     ([version, {state}]) =>
@@ -79,7 +79,7 @@
   );
 };
 
-/** Whether a target lets the workspace do anything at all. */
+/** Whether a workspace can run anything through a target. */
 const isUsable = (
   target: documents.Target,
   allowed: readonly documents.Target[],
@@ -137,8 +137,9 @@
 };
 
 /**
- * A stage that none of the cascade's workspaces may run is never reached. A
- * cascade that no rule allows yet is left alone: it is being prepared.
+ * Checks that at least one workspace of a cascade may run each stage; other
+ * stages are never reached. A cascade that no rule allows is not checked, as it
+ * may be in preparation.
  */
 const checkStageReachability = (
   cascade: documents.Cascade,
@@ -160,14 +161,14 @@
   });
 };
 
-/** Checks the rules and what they leave each workspace and cascade. */
+/** Checks the rules, and that each workspace and cascade can run something. */
 export const checkAccess = (
   document: tables.Tables,
   access: rules.Access,
 ): readonly problems.Finding[] => {
   const findings = document.rules.flatMap(rule => checkRule(rule, document));
   if (document.hasInvalidRules) {
-    return findings; // With a rule missing, what is allowed is not known.
+    return findings; // Without all rules, it is unknown what is allowed.
   }
   return [
     ...findings,
--- a/packages/configuration/src/check-entry-counts.ts
+++ b/packages/configuration/src/check-entry-counts.ts
@@ -1,4 +1,4 @@
-/** Checks that no table has more entries than an instance is built to hold. */
+/** Checks that no table has more entries than an instance can hold in memory. */
 import type * as problems from './problem.js';
 import * as access from './access.js';
 import * as tables from './document-tables.js';
@@ -22,7 +22,10 @@
   return count <= max ? [] : [{path, code: 'out_of_range', message}];
 };
 
-/** Checks the numbers of entries, versions and allowed targets. */
+/**
+ * Checks the numbers of entries per table, of versions per model and of allowed
+ * targets per workspace.
+ */
 export const checkEntryCounts = (
   document: tables.Tables,
   allowed: access.Access,
--- a/packages/configuration/src/check-keys-and-zones.ts
+++ b/packages/configuration/src/check-keys-and-zones.ts
@@ -1,10 +1,10 @@
-/** Checks of keys and zones. */
+/** Checks the keys of workspaces and the states of availability zones. */
 import type * as problems from './problem.js';
 import * as tables from './document-tables.js';
 
 /**
- * A key that stands twice would make the caller's workspace, and so its bill
- * and its rights, a matter of chance.
+ * Checks that each key belongs to one workspace only. With a key in two, the
+ * caller's workspace, and so its bill and its rights, would be ambiguous.
  */
 export const checkKeyDigests = (
   workspaces: tables.Tables['workspaces'],
@@ -29,11 +29,11 @@
   return findings;
 };
 
-/** With all zones out, no request could be placed anywhere. */
+/** Checks that a zone is in; with all zones out no request could be placed. */
 export const checkZones = (
   zones: tables.Tables['zones'],
 ): readonly problems.Finding[] => {
-  // Zones of the wrong shape, or without a table, are reported as that.
+  // A missing table or a zone of the wrong shape has a finding already.
   const isIncomplete =
     !zones.isWritten || zones.entries.size < zones.names.length;
   const hasZoneIn = [...zones.entries.values()].some(
@@ -42,6 +42,6 @@
   if (isIncomplete || hasZoneIn) {
     return [];
   }
-  const message = 'at least one availability zone must be in';
+  const message = 'at least one availability zone must be "in", got none';
   return [{path: ['zones'], code: 'all_zones_out', message}];
 };
--- a/packages/configuration/src/check-models.ts
+++ b/packages/configuration/src/check-models.ts
@@ -1,4 +1,4 @@
-/** Checks of models, versions, cascades and roll-outs against each other. */
+/** Checks models, versions, cascades and rollouts against each other. */
 import type * as problems from './problem.js';
 import type * as tables from './document-tables.js';
 import * as nearest from './util/find-nearest.js';
@@ -6,7 +6,7 @@
 type ModelEntry = tables.Entry<'models'>;
 type RolloutEntry = tables.Entry<'rollouts'>;
 
-/** A finding about a name that refers to nothing. */
+/** Reports a name that is not among the existing `names`. */
 export const checkReference = (
   path: problems.KeyPath,
   kind: string,
@@ -24,7 +24,7 @@
         },
       ];
 
-/** Finds a version; names such as `constructor` are names like any other. */
+/** Finds a version by name; inherited keys such as `constructor` are none. */
 const findVersion = (
   model: ModelEntry,
   name: string,
@@ -32,9 +32,9 @@
   Object.hasOwn(model.versions, name) ? model.versions[name] : undefined;
 
 /**
- * Follows successors to a version that takes new work. A session of a
- * withdrawn version moves to its successor, so a chain without a live end
- * leaves the session's caller with refusals only.
+ * Checks that the chain of successors ends in an active version. A session of a
+ * withdrawn version moves to its successor; without an active one, all requests
+ * of the session would be refused.
  */
 const checkSuccessors = (
   path: problems.KeyPath,
@@ -136,26 +136,29 @@
   steps: readonly number[],
 ): readonly problems.Finding[] => {
   const stepsPath = [...path, 'steps'];
-  const shrinking = steps.findIndex(
+  const invalidIndex = steps.findIndex(
     (step, index) => index > 0 && step <= (steps[index - 1] ?? 0),
   );
   const findings: problems.Finding[] = [];
-  if (shrinking >= 0) {
-    const message = `step ${shrinking} is not above the step before it`;
+  if (invalidIndex >= 0) {
+    const message = `step ${invalidIndex} must be above the step before it, ${steps[invalidIndex - 1]}, got ${steps[invalidIndex]}`;
     findings.push({
-      path: [...stepsPath, shrinking],
+      path: [...stepsPath, invalidIndex],
       code: 'steps_not_growing',
       message,
     });
   }
   if (steps.at(-1) !== 1) {
-    const message = 'the last step must be 1';
+    const message = `the last step must be 1, got ${steps.at(-1)}`;
     findings.push({path: stepsPath, code: 'steps_not_complete', message});
   }
   return findings;
 };
 
-/** Refuses a version that would get new work although it is withdrawn. */
+/**
+ * Checks that a version exists and, unless the rollout is withdrawn too, is not
+ * withdrawn: it would get new work.
+ */
 const checkRolloutVersion = (
   path: problems.KeyPath,
   side: 'from' | 'to',
@@ -168,7 +171,7 @@
   if (version?.state !== 'withdrawn' || rollout.state === 'withdrawn') {
     return checkReference([...path, side], 'version', name, names);
   }
-  const message = `version "${name}" is withdrawn, the roll-out is not`;
+  const message = `version "${name}" is withdrawn, but the rollout is ${rollout.state}`;
   return [{path: [...path, side], code: 'rollout_withdrawn', message}];
 };
 
@@ -191,7 +194,7 @@
   ];
 };
 
-/** Checks everything about models, cascades and roll-outs. */
+/** Checks all models, cascades and rollouts of a document. */
 export const checkModels = (
   document: tables.Tables,
 ): readonly problems.Finding[] => [
--- a/packages/configuration/src/check-section-sizes.ts
+++ b/packages/configuration/src/check-section-sizes.ts
@@ -1,20 +1,21 @@
-/** Checks that a document can be stored and relayed once it is split. */
+/** Checks that the sections of a document can be stored and sent to peers. */
 import type * as documents from './document.js';
 import type * as problems from './problem.js';
 import * as sections from './sections.js';
 
 /**
- * Largest section or manifest, in bytes of canonical JSON. The object API
- * holds values up to a megabyte; the rest is left to its envelope.
+ * Largest section or manifest, in bytes of canonical JSON. The object API stores
+ * values of up to a megabyte; the remainder is for its envelope.
  */
 export const MAX_SECTION_BYTES = 1_000_000;
 
-/** Most sections; a message between instances lists 2,000 at most. */
+/** Maximum sections; a message between instances lists at most 2,000. */
 export const MAX_SECTIONS = 2_000;
 
 /**
- * Largest sum of all sections. An instance that starts in an outage of the
- * platform gets them all in one answer of a peer, of 8 MiB at most.
+ * Largest total of all sections and the manifest, in bytes. An instance that
+ * starts during an outage of the platform gets them all in one answer of a peer,
+ * of at most 8 MiB.
  */
 export const MAX_PUBLISHED_BYTES = 4_000_000;
 
@@ -29,7 +30,7 @@
     : [{path, code: 'too_large', message}];
 };
 
-/** Checks the numbers and sizes of a document's sections. */
+/** Checks the number, the sizes and the total size of a document's sections. */
 export const checkSectionSizes = (
   document: documents.Document,
 ): readonly problems.Finding[] => {
--- a/packages/configuration/src/diff-documents.ts
+++ b/packages/configuration/src/diff-documents.ts
@@ -1,4 +1,4 @@
-/** What differs between two documents, in the words of their TOML files. */
+/** Lists the differences between two documents by the keys of their TOML. */
 import type * as documents from './document.js';
 import type * as problems from './problem.js';
 import * as formatDocument from './format-document.js';
@@ -6,17 +6,16 @@
 import * as targets from './target.js';
 import * as canonicalJson from './util/canonical-json.js';
 
-/** How a key changed. */
 export type ChangeKind = 'added' | 'removed' | 'changed';
 
-/** One change of one key. */
+/** Change of one key between two documents. */
 export interface Change {
-  /** Dotted path as in the TOML file. */
+  /** Dotted path, as in the TOML file. */
   readonly key: string;
   readonly kind: ChangeKind;
-  /** JSON value before, absent when added. */
+  /** Previous JSON value; absent if added. */
   readonly before?: unknown;
-  /** JSON value after, absent when removed. */
+  /** New JSON value; absent if removed. */
   readonly after?: unknown;
 }
 
@@ -34,7 +33,7 @@
   allowed: toMembers(workspace.allowed.map(targets.formatTarget)),
 });
 
-/** Lists that are sets become trees, so that one member is one change. */
+/** Turns lists that are sets into trees, so that each member is one change. */
 const toTree = (document: documents.Document): Tree => {
   const {rules: _, ...tables} = formatDocument.writeTables(document);
   const workspaces = document.workspaces.map(workspace => {
@@ -81,7 +80,7 @@
 const readOwn = (tree: Tree, name: string): unknown =>
   Object.hasOwn(tree, name) ? tree[name] : undefined;
 
-/** Lists what changes from one document to another, sorted by key. */
+/** Lists the changes from one document to another, sorted by key. */
 export const diffDocuments = (
   before: documents.Document,
   after: documents.Document,
@@ -90,7 +89,7 @@
 const formatValue = (value: unknown): string =>
   value === true ? '' : ` ${canonicalJson.formatCanonicalJson(value)}`;
 
-/** Writes a change in one line: `+ added`, `- removed`, `~ changed`. */
+/** Formats a change as one line: `+` is added, `-` removed, `~` changed. */
 export const formatChange = (change: Change): string => {
   switch (change.kind) {
     case 'added':
--- a/packages/configuration/src/document-tables.ts
+++ b/packages/configuration/src/document-tables.ts
@@ -1,7 +1,6 @@
 /**
- * The tables of an environment document as written in TOML, before they are
- * checked against each other. Keys are in snake case; `docs/CONFIGURATION.md`
- * lists them.
+ * Schemas and limits of the TOML tables of an environment document. Relations
+ * between tables are checked elsewhere. `docs/CONFIGURATION.md` lists the keys.
  */
 import * as zod from 'zod';
 import type * as documents from './document.js';
@@ -10,11 +9,11 @@
 export const MAX_NAME_LENGTH = 64;
 /** Highest price of a unit of work, in the operators' accounting unit. */
 export const MAX_COST = 1_000_000;
-/** Most versions of one model; some thirty are in use over all models. */
+/** Maximum versions of one model; about thirty are in use over all models. */
 export const MAX_VERSIONS = 100;
-/** Most stages of a cascade; each may cost a caller one whole answer's wait. */
+/** Maximum stages of a cascade; each can delay the caller by a whole answer. */
 export const MAX_STAGES = 8;
-/** HTTP methods that a service may take. */
+/** HTTP methods that a service may accept. */
 export const METHODS = [
   'GET',
   'HEAD',
@@ -24,50 +23,53 @@
   'POST',
   'PATCH',
 ] as const;
-/** Most keys of one workspace, two generations of a thousand applications. */
+/** Maximum keys of a workspace: two generations for a thousand applications. */
 export const MAX_KEYS = 2_000;
-/** Most requests of a workspace in progress or queued on one instance. */
+/** Upper bound of a workspace's requests in progress or queued per instance. */
 export const MAX_REQUESTS = 100_000;
-/** Longest wait for admission, past every caller's patience. */
+/** Longest wait for admission; no caller waits that long. */
 export const MAX_WAIT_MS = 600_000;
-/** Highest weight; the ratio of two weights stays within exact numbers. */
+/** Highest weight; keeps the ratio of two weights in the exact number range. */
 export const MAX_WEIGHT = 1_000;
-/** Most steps of a roll-out. */
+/** Maximum steps of a rollout. */
 export const MAX_STEPS = 50;
-/** Most targets or workspaces in one rule. */
+/** Maximum targets and maximum workspaces in one rule. */
 export const MAX_RULE_ITEMS = 1_000;
-/** Most rules, one for each workspace that needs its own. */
+/** Maximum rules: one per workspace. */
 export const MAX_RULES = 1_000;
-/** Most workspaces; their section digests must fit one object of 1 MB. */
+/** Maximum workspaces; their section digests must fit in one object of 1 MB. */
 export const MAX_WORKSPACES = 1_000;
 /**
- * Most targets that the rules may allow one workspace. Each workspace carries
- * its own list, so that the product with `MAX_WORKSPACES` bounds the memory of
- * every instance.
+ * Maximum targets that the rules may allow one workspace. Each workspace has its
+ * own list, so that the product with `MAX_WORKSPACES` bounds the memory of every
+ * instance.
  */
 export const MAX_ALLOWED = 200;
-/** Most models, cascades, services or zones; 33 models and versions today. */
+/**
+ * Maximum entries of each other table, such as models or zones; 33 models and
+ * versions are in use.
+ */
 export const MAX_ENTRIES = 500;
-/** Longest life of a session token: 30 days. */
+/** Longest lifetime of a session token: 30 days. */
 export const MAX_TOKEN_AGE_MS = 2_592_000_000;
 
-/** State of a version that names none. */
+/** State of a version without one. */
 export const DEFAULT_VERSION_STATE: documents.VersionState = 'active';
-/** Quality target of a workspace that names none. */
+/** Quality target of a workspace without one. */
 export const DEFAULT_QUALITY_TARGET = 0.95;
-/** Priority of a workspace that names none. */
+/** Priority of a workspace without one. */
 export const DEFAULT_PRIORITY: documents.Priority = 'interactive';
-/** Weight of a workspace that names none. */
+/** Weight of a workspace without one. */
 export const DEFAULT_WEIGHT = 1;
-/** Requests in progress of a workspace on one instance. */
+/** Maximum requests of a workspace in progress on one instance. */
 export const DEFAULT_MAX_CONCURRENT = 64;
-/** Requests waiting of a workspace on one instance: four turns of 64. */
+/** Maximum queued requests per instance: four times `DEFAULT_MAX_CONCURRENT`. */
 export const DEFAULT_MAX_QUEUED = 256;
-/** Wait for admission; a person at a desk gives up soon after. */
+/** Maximum wait for admission; a person gives up soon after. */
 export const DEFAULT_MAX_WAIT_MS = 10_000;
-/** State of a zone that names none. */
+/** State of a zone without one. */
 export const DEFAULT_ZONE_STATE: documents.ZoneState = 'in';
-/** State of a roll-out that names none. */
+/** State of a rollout without one. */
 export const DEFAULT_ROLLOUT_STATE: documents.RolloutState = 'running';
 
 const NAME = /^[A-Za-z0-9][A-Za-z0-9._-]*$/;
@@ -76,7 +78,10 @@
 export const nameSchema = zod
   .string()
   .max(MAX_NAME_LENGTH)
-  .regex(NAME, 'must start with a letter or digit, then also have ". _ -"');
+  .regex(
+    NAME,
+    'must start with a letter or digit and have only letters, digits, ".", "_" and "-"',
+  );
 
 const cost = zod.number().min(0).max(MAX_COST);
 const share = zod.number().min(0).max(1);
@@ -111,12 +116,12 @@
   max_wait_ms: zod.int().min(0).max(MAX_WAIT_MS).default(DEFAULT_MAX_WAIT_MS),
 });
 
-/** Schema of the digest of a key. */
+/** Schema of a key's digest: `sha256:` and 64 hex digits. */
 export const keyDigestSchema = zod
   .string()
   .regex(/^sha256:[0-9a-fA-F]{64}$/, 'must be "sha256:" and 64 hex digits');
 
-/** The hex digits of a key's digest, in lower case. */
+/** Returns the hex digits of a key's digest in lower case. */
 export const readKeyDigest = (written: string): string =>
   written.slice(written.indexOf(':') + 1).toLowerCase();
 
@@ -153,7 +158,7 @@
   token_max_age_ms: zod.int().min(1_000).max(MAX_TOKEN_AGE_MS).optional(),
 });
 
-/** Schemas of one entry of each table of named entries. */
+/** Schema of an entry, for each table of named entries. */
 export const entrySchemas = {
   models: model,
   cascades: cascade,
@@ -184,31 +189,30 @@
 /** Names of the tables of named entries. */
 export type TableName = keyof typeof entrySchemas;
 
-/** One entry of a table, as written, defaults filled in. */
+/** One entry of a table with its TOML keys; defaults are filled in. */
 export type Entry<N extends TableName> = zod.infer<(typeof entrySchemas)[N]>;
 
-/** An access rule as written. */
+/** An access rule with its TOML keys. */
 export type RuleEntry = zod.infer<typeof rule>;
 
 /**
- * Entries of one table. `names` has all of them, also those of the wrong
- * shape, so that a fault in an entry is not reported again by each reference
- * to it.
+ * Entries of one table. `entries` has those that fit the schema. `names` has all
+ * of them, so that references to an invalid entry are not reported as well.
  */
 export interface Table<T> {
-  /** Whether the file has the table at all. */
+  /** Whether the file has the table. */
   readonly isWritten: boolean;
   readonly names: readonly string[];
   readonly entries: ReadonlyMap<string, T>;
 }
 
-/** A rule of the right shape, with its index in the file. */
+/** A rule that fits the schema, with its index in the file. */
 export interface IndexedRule {
   readonly index: number;
   readonly rule: RuleEntry;
 }
 
-/** All entries of the right shape. */
+/** All entries and rules that fit their schemas. */
 export interface Tables {
   readonly models: Table<Entry<'models'>>;
   readonly cascades: Table<Entry<'cascades'>>;
@@ -217,7 +221,7 @@
   readonly zones: Table<Entry<'zones'>>;
   readonly rollouts: Table<Entry<'rollouts'>>;
   readonly rules: readonly IndexedRule[];
-  /** Whether a rule was left out for its shape. */
+  /** Whether a rule was left out because it doesn't fit the schema. */
   readonly hasInvalidRules: boolean;
   readonly sessions?: zod.infer<typeof sessions>;
 }
@@ -247,7 +251,10 @@
     return parsed.success ? [{index, rule: parsed.data}] : [];
   });
 
-/** Keeps the entries of the right shape, so that the rest can be checked. */
+/**
+ * Reads the entries that fit their schemas, so that these can be checked even
+ * if others are invalid.
+ */
 export const readTables = (data: Readonly<Record<string, unknown>>): Tables => {
   const rules = readRules(data['rules']);
   const written = Array.isArray(data['rules']) ? data['rules'].length : 0;
--- a/packages/configuration/src/find-reactivations.ts
+++ b/packages/configuration/src/find-reactivations.ts
@@ -1,11 +1,11 @@
 /**
- * Finds what a new document would bring back into use.
+ * Finds zones, versions and rollouts that a new document would reactivate.
  *
- * Failure: operators take a zone out, pause a roll-out or withdraw a version
- * by command, and a document written before that is applied or promoted for
- * another reason. It would undo their act without a word, and the zone or
- * version would get work again. Commands refuse such a document unless told
- * to, so the return is someone's decision.
+ * Failure: operators take a zone out, pause a rollout or withdraw a version by
+ * command. A document written before that is then applied or promoted for
+ * another reason. It would undo the command unnoticed, and the zone or version
+ * would get work again. Commands refuse such a document unless the operator
+ * confirms the reactivation.
  */
 import type * as diffs from './diff-documents.js';
 import type * as documents from './document.js';
@@ -22,7 +22,7 @@
     : {key, kind: 'changed', before, after};
 };
 
-/** A zone that the document no longer names is not kept out either. */
+/** Finds zones that were out and are in or no longer named; both get work. */
 const findReactivatedZones = (
   before: documents.Document,
   after: documents.Document,
@@ -84,8 +84,8 @@
     );
 
 /**
- * Lists zones that come back in, withdrawn versions that become active and
- * stopped roll-outs that run again, when `after` replaces `before`.
+ * Lists withdrawn versions that become active, stopped rollouts that run again
+ * and zones that come back in, if `after` replaces `before`.
  */
 export const findReactivations = (
   before: documents.Document,
--- a/packages/configuration/src/format-document.ts
+++ b/packages/configuration/src/format-document.ts
@@ -1,4 +1,4 @@
-/** Writes a document back in the form of its TOML file. */
+/** Formats a document as TOML. */
 import * as toml from 'smol-toml';
 import type * as documents from './document.js';
 import * as targets from './target.js';
@@ -45,8 +45,8 @@
 });
 
 /**
- * The tables of a document as TOML data. Rules come back as one rule for each
- * workspace, which allows the same as the rules first written.
+ * Converts a document to TOML data. The access rules become one rule per
+ * workspace, which together allow the same as the original rules.
  */
 export const writeTables = (
   document: documents.Document,
@@ -71,6 +71,6 @@
     : {sessions: {token_max_age_ms: document.sessions.tokenMaxAgeMs}}),
 });
 
-/** Writes a document as TOML that `parseDocument` reads back to an equal one. */
+/** Formats a document as TOML that `parseDocument` reads as an equal one. */
 export const formatDocument = (document: documents.Document): string =>
   toml.stringify(writeTables(document));
--- a/packages/configuration/src/gateway-settings.ts
+++ b/packages/configuration/src/gateway-settings.ts
@@ -1,85 +1,87 @@
 /**
- * Settings of one gateway instance: who it is, where it listens, and the
- * bounds within which operators expect a change to take effect. Times are in
- * milliseconds.
+ * Settings of one gateway instance: its identity, its addresses, the operators'
+ * bounds on changes, retries and exposure, and its resources.
  */
 import type * as settings from './settings.js';
 
-/** Where the instance listens. */
+/** Addresses on which the instance listens. */
 export interface GatewayListen {
   readonly callers: settings.Address;
   readonly readiness: settings.Address;
   readonly directory: settings.Address;
   readonly peers: settings.Address;
-  /** Absent where nobody collects metrics. */
+  /** Absent if metrics are not collected. */
   readonly metrics?: settings.Address;
 }
 
-/** The platform's store. */
+/** Address and call rates of the platform's store. */
 export interface GatewayStore {
   readonly address: settings.Address;
-  /** Calls a second that all instances together may make. */
+  /** Calls per second that all instances together may make. */
   readonly writesPerSecond: number;
   readonly readsPerSecond: number;
 }
 
-/** Within what a change, counted from the store's answer, must take effect. */
+/** Times, from the store's answer, within which changes must take effect. */
 export interface ChangeBounds {
-  /** A new configuration. */
+  /** Until a new configuration is active. */
   readonly configurationMs: number;
-  /** No new request to an upstream that leaves or is gone. */
+  /** Until no new request goes to an upstream that is leaving or removed. */
   readonly leavingMs: number;
-  /** No new request to a zone that was taken out. */
+  /** Until no new request goes to a zone that was taken out. */
   readonly evacuationMs: number;
-  /** No request with a revoked key, on any instance, cut off or not. */
+  /** Until every instance, even an isolated one, refuses a revoked key. */
   readonly revocationMs: number;
-  /** A leaving instance must have ended by then. */
+  /** Until a stopping instance has ended. */
   readonly stopGraceMs: number;
-  /** Time after a disturbance until the bounds hold again. */
+  /** From the end of a disturbance until the bounds hold again. */
   readonly stabilityMs: number;
 }
 
-/** How often requests may be sent again, over all instances. */
+/** Limit of the retries of all instances together. */
 export interface RetryBounds {
-  /** Repeats for each request of a window. */
+  /** Retries per request within a window. */
   readonly ratio: number;
-  /** Repeats in a window on top of the ratio. */
+  /** Retries per window in addition to the ratio. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
-/** How much of a service's traffic an unproved version may see. */
+/** Limit of a service's traffic to a version that has not proved itself. */
 export interface ExposureBounds {
+  /** Fraction of the service's requests, 0 to 1. */
   readonly share: number;
-  /** Requests on top of the share. */
+  /** Requests in addition to the share. */
   readonly slack: number;
-  /** Time from the evidence against a version to its last request. */
+  /** Time from evidence against a version until its last request. */
   readonly rollbackMs: number;
 }
 
-/** What a cold upstream bears beyond the configured rate. */
+/** Limit of requests to a cold upstream. */
 export interface ColdBounds {
+  /** Factor on the configured rate of cold upstreams. */
   readonly overrun: number;
+  /** Requests in addition. */
   readonly slack: number;
 }
 
-/** Bounds given by the operators. */
+/** Bounds that operators configure. */
 export interface GatewayBounds {
   readonly change: ChangeBounds;
   readonly retry: RetryBounds;
   readonly exposure: ExposureBounds;
   readonly cold: ColdBounds;
-  /** Requests of a session that follow within this belong together. */
+  /** Idle time after which a session ends. */
   readonly sessionMs: number;
-  /** Longest time for which callers may keep the directory's answer. */
+  /** Longest time for which callers may cache the directory's answer. */
   readonly addressMaxAgeMs: number;
 }
 
-/** What the instance's machine gives it. */
+/** Resources of its machine that the instance may use. */
 export interface GatewayLimits {
   readonly memoryMb: number;
   readonly fileDescriptors: number;
-  /** Processor time that it may use, in seconds a second of one core. */
+  /** Processor time, in cores; may be fractional. */
   readonly cores: number;
 }
 
@@ -93,7 +95,7 @@
   /** Region of each availability zone. */
   readonly zones: ReadonlyMap<string, string>;
   readonly listen: GatewayListen;
-  /** Peers to ask first; they may be gone. */
+  /** Peers to contact at the start; they may no longer exist. */
   readonly seeds: readonly settings.Address[];
   readonly store: GatewayStore;
   readonly bounds: GatewayBounds;
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,4 +1,4 @@
-/** Environment documents and settings. */
+/** Environment documents and settings: types, parsing, checks and sections. */
 export * from './address.js';
 export * from './diff-documents.js';
 export * from './document.js';
--- a/packages/configuration/src/parse-document.ts
+++ b/packages/configuration/src/parse-document.ts
@@ -1,4 +1,4 @@
-/** Reads an environment document from TOML and checks it completely. */
+/** Parses an environment document from TOML and runs all checks on it. */
 import * as purify from 'purify-ts';
 import type * as documents from './document.js';
 import type * as problems from './problem.js';
@@ -13,7 +13,7 @@
 import * as shapes from './util/check-shape.js';
 import * as readToml from './util/read-toml.js';
 
-/** Largest document in bytes; the object API holds values up to a megabyte. */
+/** Largest document, in bytes; the object API stores up to a megabyte. */
 export const MAX_DOCUMENT_BYTES = 1_000_000;
 
 const listSorted = <T, R>(
@@ -103,7 +103,7 @@
   ...createSessions(checked.sessions),
 });
 
-/** Checks TOML data completely, and only then makes it a document. */
+/** Runs all checks on TOML data, and converts it if they found nothing. */
 const readDocument = (
   source: readToml.TomlFile,
 ): purify.Either<readonly problems.Problem[], documents.Document> => {
@@ -130,8 +130,8 @@
 /**
  * Parses and checks an environment document.
  *
- * @param file name of the file, for the problems.
- * @return the document, or all its problems in order of lines.
+ * @param file file name, which the problems name.
+ * @return the document, or all problems sorted by line.
  */
 export const parseDocument = (
   text: string,
@@ -140,9 +140,10 @@
   readToml.readToml(text, file, MAX_DOCUMENT_BYTES).chain(readDocument);
 
 /**
- * Checks a document that a command changed, as if it had been written anew.
+ * Runs the same checks on a document that a command changed.
  *
- * @param source where it comes from, for the problems; they have no lines.
+ * @param source origin of the document, which the problems name instead of a
+ *   file; they have no lines.
  */
 export const checkDocument = (
   document: documents.Document,
--- a/packages/configuration/src/parse-gateway-settings.ts
+++ b/packages/configuration/src/parse-gateway-settings.ts
@@ -1,4 +1,4 @@
-/** Reads the settings of a gateway instance from TOML and checks them. */
+/** Parses and checks the TOML settings of a gateway instance. */
 import * as purify from 'purify-ts';
 import * as zod from 'zod';
 import type * as problems from './problem.js';
@@ -10,15 +10,15 @@
 
 /** Largest settings file, in bytes. */
 const MAX_BYTES = 65_536;
-/** Longest time that a bound may name: an hour. */
+/** Upper bound of times: one hour. */
 const MAX_TIME_MS = 3_600_000;
 const MS_PER_S = 1_000;
-/** Most calls a second that a store may allow. */
+/** Upper bound of the store's call rates, per second. */
 const MAX_RATE = 1_000_000;
 
 const name = zod.string().min(1).max(256);
 const time = zod.number().positive().max(MAX_TIME_MS);
-/** As `time`, in seconds. */
+/** As `time`, but in seconds. */
 const seconds = zod
   .number()
   .positive()
@@ -144,8 +144,8 @@
 /**
  * Parses and checks the settings of a gateway instance.
  *
- * @param file name of the file, for the problems.
- * @return the settings, or all their problems in order of lines.
+ * @param file file name, which the problems name.
+ * @return the settings, or all problems sorted by line.
  */
 export const parseGatewaySettings = (
   text: string,
--- a/packages/configuration/src/parse-instances.ts
+++ b/packages/configuration/src/parse-instances.ts
@@ -1,6 +1,6 @@
 /**
- * Reads a list of instances from TOML, for the stand-in platform. A real
- * platform keeps its own list.
+ * Parses and checks a TOML list of instances for the fake platform. A real
+ * platform has its own list.
  */
 import * as purify from 'purify-ts';
 import * as zod from 'zod';
@@ -10,13 +10,13 @@
 import * as shapes from './util/check-shape.js';
 import * as readToml from './util/read-toml.js';
 
-/** Largest list, in bytes. */
+/** Largest file, in bytes. */
 export const MAX_INSTANCES_BYTES = 1_000_000;
 
-/** Most entries that one instance serves. */
+/** Maximum models or services that one instance serves. */
 export const MAX_SERVED = 200;
 
-/** One instance, in the shape of the platform's list. */
+/** One instance, in the form of the platform's instance list. */
 export interface InstanceEntry {
   readonly id: string;
   readonly role: 'entry' | 'engine' | 'service';
@@ -24,7 +24,7 @@
   /** `IP:port`. */
   readonly address: string;
   readonly zone: string;
-  /** Models an engine can run, as `model@version`; a service's one name. */
+  /** Models that an engine runs, as `model@version`, or a service's name. */
   readonly serves: readonly string[];
 }
 
@@ -56,7 +56,7 @@
   });
 };
 
-/** Parses a list of instances; all its problems are reported. */
+/** Parses and checks a list of instances; returns it or all its problems. */
 export const parseInstances = (
   text: string,
   file: string,
--- a/packages/configuration/src/parse-settings.ts
+++ b/packages/configuration/src/parse-settings.ts
@@ -1,4 +1,4 @@
-/** Reads the settings of an entry instance from TOML and checks them. */
+/** Parses and checks the TOML settings of an entry instance. */
 import * as purify from 'purify-ts';
 import * as zod from 'zod';
 import type * as problems from './problem.js';
@@ -10,13 +10,16 @@
 
 /** Largest settings file, in bytes. */
 export const MAX_SETTINGS_BYTES = 100_000;
-/** Upper bound of byte bounds: a small instance has no more to give. */
+/** Upper bound of limits in bytes: the memory of a small instance. */
 export const MAX_BYTES = 1_073_741_824;
 /** Upper bound of times: one day. */
 export const MAX_TIME_MS = 86_400_000;
 /** Upper bound of counts. */
 export const MAX_COUNT = 10_000_000;
-/** Longest age of an address answer; a stop waits this long for callers. */
+/**
+ * Longest time for which callers may cache addresses. A stopping instance waits
+ * this long for callers.
+ */
 export const MAX_ADDRESS_AGE_MS = 600_000;
 
 const endpoint = zod.url({
@@ -102,10 +105,10 @@
     return [];
   }
   if (addresses.isUnspecified(advertise)) {
-    const message = 'must be an address that others can connect to';
+    const message = `must be an address that others can connect to, got ${addresses.formatAddress(advertise)}`;
     return [{path, code: 'invalid_value', message}];
   }
-  const message = 'port 0 is for "listen" only';
+  const message = 'port must not be 0, which is valid for "listen" only';
   return instance.advertise !== undefined && advertise.port === 0
     ? [{path, code: 'invalid_value', message}]
     : [];
@@ -115,18 +118,19 @@
   written.address_max_age_ms + written.request_timeout_ms;
 
 /**
- * Callers connect to a stopping instance until their kept address is too old,
- * and a request that came last may take its whole time. A shorter grace would
- * cut requests in every planned stop.
+ * Checks that the grace period covers the time for which callers cache an
+ * address and the longest request after that. A shorter one would cut off
+ * requests in every planned stop.
  */
 const checkStopGrace = (
   written: Tables['limits'],
 ): readonly problems.Finding[] => {
   const minMs = getMinStopGraceMs(written);
-  if ((written.stop_grace_ms ?? minMs) >= minMs) {
+  const graceMs = written.stop_grace_ms ?? minMs;
+  if (graceMs >= minMs) {
     return [];
   }
-  const message = `must be at least address_max_age_ms + request_timeout_ms, ${minMs}`;
+  const message = `must be at least address_max_age_ms + request_timeout_ms, ${minMs}, got ${graceMs}`;
   const path = ['limits', 'stop_grace_ms'];
   return [{path, code: 'out_of_range', message}];
 };
@@ -184,7 +188,7 @@
   log: written.log,
 });
 
-/** Checks the relations that hold inside tables of the right shape. */
+/** Checks relations between the keys of each table that fits its schema. */
 const checkRelations = (
   data: Readonly<Record<string, unknown>>,
 ): readonly problems.Finding[] => {
@@ -197,11 +201,10 @@
 };
 
 /**
- * Parses and checks settings. Secrets in files are not read here; see
- * `readSecret`.
+ * Parses and checks settings. Secret files are read by `readSecret`.
  *
- * @param file name of the file, for the problems.
- * @return the settings, or all their problems in order of lines.
+ * @param file file name, which the problems name.
+ * @return the settings, or all problems sorted by line.
  */
 export const parseSettings = (
   text: string,
--- a/packages/configuration/src/problem.ts
+++ b/packages/configuration/src/problem.ts
@@ -1,12 +1,13 @@
-/** What is wrong with a document or with settings, as a value. */
+/** Problems of documents and settings, as values and as text. */
 
 /**
  * Kinds of problem. `docs/CONFIGURATION.md` explains each.
  *
- * - `syntax`, `too_large`: the file can't be read as TOML at all.
+ * - `syntax`, `too_large`: the file is not valid TOML, or it or a section of
+ *   the document is too large.
  * - `unknown_key`, `missing_key`, `wrong_type`, `out_of_range`,
- *   `invalid_value`, `invalid_name`: one key or value has the wrong shape.
- * - all others: the parts do not fit together.
+ *   `invalid_value`, `invalid_name`: a key or value does not fit the schema.
+ * - all others: values contradict each other.
  */
 export const PROBLEM_CODES = [
   'syntax',
@@ -34,26 +35,25 @@
   'rollout_to_itself',
 ] as const;
 
-/** A kind of problem. */
 export type ProblemCode = (typeof PROBLEM_CODES)[number];
 
-/** One problem, placed in its file. */
+/** A problem with its file and line. */
 export interface Problem {
   readonly file: string;
-  /** Line of the key, or of its nearest table, counted from 1. */
+  /** Line of the key or of its closest table, from 1. */
   readonly line?: number;
-  /** Dotted path; elements of arrays by index from 0, as `rules.0.allow.2`. */
+  /** Dotted path; array elements by index from 0, as in `rules.0.allow.2`. */
   readonly key: string;
   readonly code: ProblemCode;
   readonly message: string;
-  /** Nearest valid name, when one is near. */
+  /** Closest valid name, if one is similar. */
   readonly nearest?: string;
 }
 
-/** A path of table keys and array indexes. */
+/** Path of table keys and array indexes; empty for the whole file. */
 export type KeyPath = readonly (string | number)[];
 
-/** A problem before it is placed in its file. */
+/** A problem without its file and line. */
 export interface Finding {
   readonly path: KeyPath;
   readonly code: ProblemCode;
@@ -61,7 +61,7 @@
   readonly nearest?: string | undefined;
 }
 
-/** Key of problems that concern the file as a whole. */
+/** Key of problems that concern the whole file. */
 export const WHOLE_FILE_KEY = '(file)';
 
 const BARE_KEY = /^[A-Za-z0-9_-]+$/;
@@ -71,11 +71,11 @@
   return BARE_KEY.test(text) ? text : JSON.stringify(text);
 };
 
-/** Writes a path as TOML does, quoting what is not a bare key. */
+/** Formats a path as a dotted TOML key; quotes segments that need it. */
 export const formatKey = (path: KeyPath): string =>
   path.length === 0 ? WHOLE_FILE_KEY : path.map(formatSegment).join('.');
 
-/** Writes a problem in one line, for people. */
+/** Formats a problem as one line for operators. */
 export const formatProblem = (problem: Problem): string => {
   const location =
     problem.line === undefined
--- a/packages/configuration/src/read-secret.ts
+++ b/packages/configuration/src/read-secret.ts
@@ -1,8 +1,8 @@
-/** Turns a secret of the settings into its text. */
+/** Reads the text of a secret that is configured inline or as a file. */
 import * as purify from 'purify-ts';
 import * as settings from './settings.js';
 
-/** Why a secret can't be used. */
+/** Failure to read a secret file, or a secret that is too short. */
 export interface SecretError {
   readonly path: string;
   readonly code: 'unreadable' | 'too_short';
@@ -10,9 +10,9 @@
 }
 
 /**
- * Reads a secret; white space around the text of a file is not part of it.
+ * Reads a secret. White space at both ends of a file is removed.
  *
- * @param readFile reads a text file, and throws as `fs.readFileSync` does.
+ * @param readFile reads a text file; throws as `fs.readFileSync` does.
  */
 export const readSecret = (
   secret: settings.Secret,
@@ -34,7 +34,7 @@
         : purify.Left({
             path,
             code: 'too_short' as const,
-            message: `needs ${settings.MIN_SECRET_LENGTH} characters or more`,
+            message: `needs ${settings.MIN_SECRET_LENGTH} characters or more, got ${text.length}`,
           }),
     );
 };
--- a/packages/configuration/src/sections.ts
+++ b/packages/configuration/src/sections.ts
@@ -1,18 +1,19 @@
 /**
- * A document as immutable sections, each named by the digest of its content.
+ * Splits a document into immutable sections that are addressed by the digest of
+ * their content, and joins them.
  *
- * Load: about a change a second over the day, mostly of one zone or one
- * roll-out. One section for each named item lets a change travel as the few
- * hundred bytes it touches. Sections are never written over, so a reader that
- * follows an older manifest still finds what that manifest names.
+ * Load: about one change per second over the day, mostly of one zone or one
+ * rollout. With a section per named item, only the few hundred bytes that
+ * changed are transferred. Sections are never overwritten, so that readers of
+ * an older manifest still find the sections it names.
  */
 import * as purify from 'purify-ts';
 import type * as documents from './document.js';
 import * as canonicalJson from './util/canonical-json.js';
 
-/** A part of a document, addressed by its content. */
+/** One item of a document, addressed by its content. */
 export interface Section {
-  /** Table and item, as `zones/tunis`; `sessions` has one item only. */
+  /** Table and item, as in `zones/tunis`; `sessions` has no items. */
   readonly name: string;
   /** SHA-256 of the value's canonical JSON, in lower-case hex. */
   readonly digest: string;
@@ -20,46 +21,46 @@
   readonly value: unknown;
 }
 
-/** All sections of a document; its own digest is the document's. */
+/** List of a document's sections. Its digest is that of the document. */
 export interface Manifest {
   /** Digest by section name. */
   readonly sections: Readonly<Record<string, string>>;
 }
 
-/** A document with its sections. */
+/** The sections and the manifest of a document, with their sizes. */
 export interface SplitDocument {
   readonly manifest: Manifest;
-  /** Digest of the manifest, and so of the whole document. */
+  /** Digest of the manifest, which identifies the whole document. */
   readonly digest: string;
   /** Sorted by name. */
   readonly sections: readonly Section[];
-  /** Bytes of canonical JSON by section name, `manifest` among them. */
+  /** Bytes of canonical JSON by section name; `manifest` is included. */
   readonly byteLengths: ReadonlyMap<string, number>;
 }
 
 /**
- * Why sections make no document.
+ * Reasons why sections can't be joined.
  *
- * - `missing_section`: the manifest names it, and it is not at hand.
- * - `digest_mismatch`: the content is not the one its digest stands for.
- * - `unknown_section`: of a later program; leaving it out could leave out a
- *   limit, so the whole document is refused.
- * - `invalid_section`: the content is not of the item that the name says.
+ * - `missing_section`: the manifest names it, but its value is not available.
+ * - `digest_mismatch`: the value has another digest than the manifest names.
+ * - `unknown_section`: from a later release. Ignoring it could ignore a limit,
+ *   so the whole document is refused.
+ * - `invalid_section`: the value is of another item than the section's name.
  */
 export type SectionErrorCode =
   'missing_section' | 'digest_mismatch' | 'unknown_section' | 'invalid_section';
 
-/** One section that stands in a document's way. */
+/** A section because of which a document is refused. */
 export interface SectionError {
   readonly section: string;
   readonly code: SectionErrorCode;
   readonly message: string;
 }
 
-/** Name under which the manifest's own size stands. */
+/** Name of the manifest in `byteLengths`. */
 const MANIFEST = 'manifest';
 
-/** The one section without an item of its own name. */
+/** Name of the only section that has no item name. */
 const SESSIONS = 'sessions';
 
 const TABLES = [
@@ -101,7 +102,7 @@
       : [createSection(SESSIONS, document.sessions)]),
   ].sort((a, b) => (a.section.name < b.section.name ? -1 : 1));
 
-/** Splits a document; equal documents give equal digests. */
+/** Splits a document into sections; equal documents give equal digests. */
 export const splitDocument = (document: documents.Document): SplitDocument => {
   const listed = listSections(document);
   const sections = listed.map(({section}) => section);
@@ -118,15 +119,15 @@
   };
 };
 
-/** Digest of a document. */
+/** Returns the digest of a document, which is that of its manifest. */
 export const digestDocument = (document: documents.Document): string =>
   splitDocument(document).digest;
 
-/** Digest of a manifest: the digest of its document. */
+/** Returns the digest of a manifest, which is that of its document. */
 export const digestManifest = (manifest: Manifest): string =>
   canonicalJson.digestValue(manifest);
 
-/** Names of the sections of `after` that `before` lacks or has otherwise. */
+/** Lists the sections of `after` that are new or have another digest. */
 export const listChangedSections = (
   before: Manifest,
   after: Manifest,
@@ -136,10 +137,10 @@
     .map(([name]) => name);
 
 /**
- * Digests of values seen before. Load: about a change a second, each joining
- * all sections again although one is new; without this, the digests of 900
- * workspaces take a tenth of a core. It holds because values are never
- * changed in place: a value from outside is always another object.
+ * Digests of values that were checked before. About once per second a change
+ * joins all sections again although one is new; without this cache the digests
+ * of 900 workspaces take a tenth of a core. Entries stay valid because values
+ * are never mutated; a value from outside is always a new object.
  */
 const digestCache = new WeakMap<object, string>();
 
@@ -152,14 +153,14 @@
   return digest;
 };
 
-/** Whether a section's value is the one its digest stands for. */
+/** Whether a section's value has the section's digest. */
 export const isSectionIntact = ({digest, value}: Section): boolean =>
   getCachedDigest(value) === digest;
 
 const findTable = (name: string): TableName | undefined =>
   TABLES.find(table => name.startsWith(`${table}/`));
 
-/** Whether a value is of the item that its section's name says. */
+/** Whether a value belongs to the item that its section's name contains. */
 const hasMatchingName = (name: string, value: unknown): boolean => {
   if (typeof value !== 'object' || value === null) {
     return false;
@@ -175,17 +176,29 @@
     {section: name, code, message},
   ];
   if (findTable(name) === undefined && name !== SESSIONS) {
-    return fail('unknown_section', 'this program knows no such section');
+    return fail(
+      'unknown_section',
+      'unknown to this release; the document is refused',
+    );
   }
   if (value === undefined) {
-    return fail('missing_section', `no value with digest ${digest}`);
+    return fail(
+      'missing_section',
+      `no value with digest ${digest} is available`,
+    );
   }
   if (!isSectionIntact(section)) {
-    return fail('digest_mismatch', `the value's digest is not ${digest}`);
+    return fail(
+      'digest_mismatch',
+      `the value must have digest ${digest}, got ${getCachedDigest(value)}`,
+    );
   }
   return hasMatchingName(name, value)
     ? []
-    : fail('invalid_section', 'the value is of another item');
+    : fail(
+        'invalid_section',
+        'the value belongs to another item than this section',
+      );
 };
 
 const assemble = (sections: readonly Section[]): documents.Document => {
@@ -202,12 +215,12 @@
 };
 
 /**
- * Joins sections to the document of a manifest. Values come from peers and
- * from the platform, so each is checked against its digest; what a digest
- * stands for was checked when it was published.
+ * Joins the sections of a manifest to a document. Values come from peers and
+ * from the platform, so each is checked against its digest. The content was
+ * checked before it was published.
  *
- * @param findValue value by digest, undefined when it is not at hand.
- * @return the document, or all sections that stand in its way.
+ * @param findValue returns a value by digest; undefined if not available.
+ * @return the document, or the errors of all sections.
  */
 export const joinSections = (
   manifest: Manifest,
--- a/packages/configuration/src/settings.ts
+++ b/packages/configuration/src/settings.ts
@@ -1,92 +1,95 @@
 /**
- * Settings of one entry instance: what differs between instances, and the
- * bounds that keep a small instance alive under load. Unlike the environment
- * document they hold addresses and secrets.
+ * Settings of one entry instance: its identity and addresses, secrets, and
+ * limits that keep a small instance from running out of resources under load.
+ * The environment document holds no addresses and no secrets.
  */
 
-/** Largest request body, in bytes: a long prompt with its history. */
+/** Largest request body: a long prompt with its history. */
 export const DEFAULT_MAX_BODY_BYTES = 1_048_576;
-/** Largest request head, in bytes, against header floods. */
+/** Largest request head; protects against header floods. */
 export const DEFAULT_MAX_HEADER_BYTES = 16_384;
-/** Longest time a caller may take to send its head, against slow clients. */
+/** Longest time to receive a request head; protects against slow clients. */
 export const DEFAULT_HEADER_TIMEOUT_MS = 10_000;
-/** Longest time from a whole request to its last byte; long welcome packs. */
+/**
+ * Longest time from the complete request to the last byte of its answer. It
+ * leaves time for long welcome packs.
+ */
 export const DEFAULT_REQUEST_TIMEOUT_MS = 120_000;
-/** How long callers may keep the answer to which address to use. */
+/** How long callers may cache the list of addresses to use. */
 export const DEFAULT_ADDRESS_MAX_AGE_MS = 5_000;
-/** Requests in progress on one instance. */
+/** Maximum requests in progress on one instance. */
 export const DEFAULT_MAX_IN_FLIGHT = 1_024;
 /**
- * Bills kept while the object API is down. Past it requests are refused, since
- * an answer that can't be billed would be lost to its operator.
+ * Maximum bills kept while the object API is down. Above it requests are
+ * refused, since their answers could not be billed.
  */
 export const DEFAULT_MAX_PENDING_BILLS = 50_000;
-/** Claims of non-idempotent requests waiting for the object API. */
+/** Maximum claims of non-idempotent requests that wait for the object API. */
 export const DEFAULT_MAX_PENDING_CLAIMS = 1_024;
-/** Events kept for the time line; the oldest go first. */
+/** Events kept for the time line; the oldest are overwritten first. */
 export const DEFAULT_MAX_TIMELINE_EVENTS = 20_000;
-/** Level of the log. */
+/** Least severe level that is logged. */
 export const DEFAULT_LOG_LEVEL: LogLevel = 'info';
 
-/** Shortest secret, in characters: 128 bits in hex. */
+/** Minimum length of a secret, in characters: 128 bits in hex. */
 export const MIN_SECRET_LENGTH = 32;
 
-/** How much the log tells. */
+/** Severities of log lines, most severe first. */
 export type LogLevel = 'error' | 'warn' | 'info' | 'debug';
 
 /** An IP address and a port. */
 export interface Address {
   /** IPv4 or IPv6 address, without brackets. */
   readonly host: string;
-  /** 0 lets the system choose, for listening only. */
+  /** 0 lets the system choose a port; valid for listening only. */
   readonly port: number;
 }
 
-/** A secret as written: in the settings themselves, or in a file of its own. */
+/** Secret as configured: inline, or the path of a file that holds it. */
 export type Secret =
   | {readonly kind: 'text'; readonly text: string}
   | {readonly kind: 'file'; readonly path: string};
 
-/** Who this instance is. */
+/** Identity and addresses of the instance. */
 export interface InstanceSettings {
   readonly id: string;
   readonly zone: string;
   readonly region: string;
   readonly environment: string;
   readonly listen: Address;
-  /** Where others reach it; absent means the address it listens on. */
+  /** Address that others connect to; defaults to `listen`. */
   readonly advertise?: Address;
 }
 
-/** Where the platform's services are. */
+/** URLs of the platform's services, and the key for them. */
 export interface PlatformSettings {
   readonly objectApi: string;
   readonly instanceList: string;
-  /** Absent where answers are not rated. */
+  /** Rating service; absent if answers are not rated. */
   readonly rating?: string;
-  /** Key shown to the platform; absent where it asks for none. */
+  /** Key sent to the platform; absent if the platform needs none. */
   readonly key?: Secret;
 }
 
-/** Keys between callers, operators and instances. */
+/** Keys that authenticate operators, instances and session tokens. */
 export interface KeySettings {
   /** SHA-256 digest of the operators' key, in lower-case hex. */
   readonly operatorDigest: string;
-  /** Key that entry instances show each other. */
+  /** Key by which entry instances authenticate to each other. */
   readonly innerKey: Secret;
-  /** Key that signs session tokens; the same on all instances. */
+  /** Key that signs session tokens; must be the same on all instances. */
   readonly sessionKey: Secret;
 }
 
-/** Bounds of one instance. Times are in milliseconds. */
+/** Resource limits and timeouts of one instance. */
 export interface InstanceLimits {
   readonly maxBodyBytes: number;
   readonly maxHeaderBytes: number;
   readonly headerTimeoutMs: number;
   readonly requestTimeoutMs: number;
   /**
-   * Longest graceful shutdown. It covers old answers to which address to use
-   * and the longest request, so that a planned stop cuts none.
+   * Longest graceful shutdown. It covers the time for which callers cache
+   * addresses and the longest request, so that a planned stop cuts off none.
    */
   readonly stopGraceMs: number;
   readonly addressMaxAgeMs: number;
@@ -96,7 +99,7 @@
   readonly maxTimelineEvents: number;
 }
 
-/** What the instance logs. */
+/** Settings of the log; also used by gateway instances. */
 export interface LogSettings {
   readonly level: LogLevel;
 }
--- a/packages/configuration/src/target.ts
+++ b/packages/configuration/src/target.ts
@@ -1,15 +1,15 @@
 /**
- * What access rules allow, and what that means for a request. The entry path
- * asks `isModelAllowed` before each run, also within a cascade, on a retry and
- * after the configuration changed.
+ * Targets of access rules, and whether a list of them allows a request. Entry
+ * instances call `isModelAllowed` before each run, also within a cascade, on a
+ * retry and after a change of the configuration.
  */
 import * as purify from 'purify-ts';
 import type * as documents from './document.js';
 
-/** Kinds of target, as written before the colon. */
+/** Kinds of target; the text before the colon. */
 export const TARGET_KINDS = ['cascade', 'model', 'service'] as const;
 
-/** Writes a target as rules do: `cascade:x`, `model:x@v2`, `service:y`. */
+/** Formats a target as in rules: `cascade:x`, `model:x@v2`, `service:y`. */
 export const formatTarget = (target: documents.Target): string => {
   switch (target.kind) {
     case 'cascade':
@@ -30,7 +30,7 @@
     : {kind: 'model', model: name.slice(0, at), version: name.slice(at + 1)};
 };
 
-/** Reads a target; nothing for text of another form. */
+/** Parses a target; Nothing for text of another form. */
 export const parseTarget = (text: string): purify.Maybe<documents.Target> => {
   const colon = text.indexOf(':');
   const name = text.slice(colon + 1);
@@ -70,11 +70,12 @@
 /**
  * Whether a workspace may run a version of a model.
  *
- * A cascade allows its stages within the cascade only; pass the cascade that
- * the request goes through. A target with a version pins the workspace to the
- * versions it names, in cascades as well, so that a firm which vetted one
- * version never meets another by way of a cascade or a roll-out. A target of
- * the model without a version lifts the pin.
+ * A cascade target allows the cascade's stages within that cascade only. Targets
+ * with a version pin the workspace to these versions, also within cascades, so
+ * that a customer that vetted one version never gets another through a cascade
+ * or a rollout. A target of the model without a version removes the pin.
+ *
+ * @param cascade the cascade that the request goes through, if any.
  */
 export const isModelAllowed = (
   allowed: readonly documents.Target[],
@@ -100,8 +101,8 @@
 };
 
 /**
- * Versions of a model that a workspace may run, withdrawn ones included, by
- * `isModelAllowed`. Empty when it may not run the model at all.
+ * Lists the versions of a model that a workspace may run by `isModelAllowed`,
+ * including withdrawn ones. Empty if it may not run the model.
  */
 export const listAllowedVersions = (
   allowed: readonly documents.Target[],
--- a/packages/configuration/src/util/canonical-json.ts
+++ b/packages/configuration/src/util/canonical-json.ts
@@ -1,9 +1,9 @@
-/** One text for each JSON value, and its digest. */
+/** Formats JSON values canonically and computes their digests. */
 import * as crypto from 'node:crypto';
 
 /**
- * Writes a JSON value with sorted keys and no white space, so that equal
- * values have equal texts. Members that are undefined are left out.
+ * Formats a JSON value with sorted keys and no white space, so that equal
+ * values give equal texts. Undefined members are omitted.
  */
 export const formatCanonicalJson = (value: unknown): string => {
   if (typeof value !== 'object' || value === null) {
@@ -21,10 +21,10 @@
   return `{${members.join(',')}}`;
 };
 
-/** SHA-256 of a text, in lower-case hex. */
+/** Returns the SHA-256 of a text in lower-case hex. */
 export const digestText = (text: string): string =>
   crypto.createHash('sha256').update(text).digest('hex');
 
-/** SHA-256 of a value's canonical JSON, in lower-case hex. */
+/** Returns the SHA-256 of a value's canonical JSON in lower-case hex. */
 export const digestValue = (value: unknown): string =>
   digestText(formatCanonicalJson(value));
--- a/packages/configuration/src/util/check-shape.ts
+++ b/packages/configuration/src/util/check-shape.ts
@@ -1,4 +1,4 @@
-/** Turns a schema's issues into findings with near misses. */
+/** Checks data against a schema and reports its issues as findings. */
 import * as zod from 'zod';
 import type * as problems from '../problem.js';
 import * as nearest from './find-nearest.js';
@@ -10,7 +10,7 @@
   return schema;
 };
 
-const stepInto = (
+const getChildSchema = (
   schema: zod.core.$ZodType | undefined,
   segment: PropertyKey,
 ): zod.core.$ZodType | undefined => {
@@ -29,7 +29,10 @@
   schema: zod.core.$ZodType,
   path: readonly PropertyKey[],
 ): readonly string[] => {
-  const found = path.reduce<zod.core.$ZodType | undefined>(stepInto, schema);
+  const found = path.reduce<zod.core.$ZodType | undefined>(
+    getChildSchema,
+    schema,
+  );
   const inner = found && unwrap(found);
   return inner instanceof zod.ZodObject ? Object.keys(inner.shape) : [];
 };
@@ -50,11 +53,12 @@
     typeof segment === 'number' ? segment : String(segment),
   );
 
-/** Types in the words of TOML. */
+/** TOML names of types that the schema library names otherwise. */
 const TOML_TYPES: Readonly<Record<string, string>> = {
   record: 'table',
   object: 'table',
   int: 'integer',
+  TomlDate: 'date',
 };
 
 const describeType = (
@@ -63,9 +67,16 @@
   raw: unknown,
 ): problems.Finding => {
   const type = TOML_TYPES[issue.expected] ?? issue.expected;
-  return readValue(raw, path) === undefined
+  const value = readValue(raw, path);
+  const parsedType = zod.core.util.parsedType(value);
+  const received = TOML_TYPES[parsedType] ?? parsedType;
+  return value === undefined
     ? {path, code: 'missing_key', message: `needs a value of type ${type}`}
-    : {path, code: 'wrong_type', message: `must be of type ${type}`};
+    : {
+        path,
+        code: 'wrong_type',
+        message: `must be of type ${type}, got ${received}`,
+      };
 };
 
 const describeIssue = (
@@ -139,8 +150,8 @@
 };
 
 /**
- * Object keys named `__proto__` are passed over by the schema library, so that
- * a workspace of that name would vanish without a word. They are refused here.
+ * Finds keys named `__proto__`. The schema library ignores them, so that a
+ * workspace of that name would be dropped without an error.
  */
 const findReservedKeys = (
   value: unknown,
@@ -152,12 +163,18 @@
   return Object.entries(value).flatMap(([key, inner]) => {
     const own = [...path, key];
     return key === '__proto__'
-      ? [{path: own, code: 'unknown_key' as const, message: 'reserved name'}]
+      ? [
+          {
+            path: own,
+            code: 'unknown_key' as const,
+            message: `reserved name "${key}"`,
+          },
+        ]
       : findReservedKeys(inner, own);
   });
 };
 
-/** Checks raw TOML data against a schema and returns all findings. */
+/** Checks parsed TOML data against a schema and returns all findings. */
 export const checkShape = (
   raw: unknown,
   schema: zod.core.$ZodType,
--- a/packages/configuration/src/util/find-nearest.ts
+++ b/packages/configuration/src/util/find-nearest.ts
@@ -1,16 +1,16 @@
-/** Near misses of names, for error messages. */
+/** Finds the valid name closest to a misspelt one, for error messages. */
 import * as levenshtein from 'fastest-levenshtein';
 
 /**
- * Most edits, as a share of the longer name, that still look like a slip. One
- * edit always does: short names such as `v1` have no room for a share.
+ * Maximum edit distance, as a fraction of the longer name's length. One edit is
+ * always allowed, since the fraction of a short name such as `v1` is below 1.
  */
 const MAX_DISTANCE_FRACTION = 0.4;
 
-/** Longest name worth comparing; the comparison's cost grows with its square. */
+/** Longest name that is compared; the cost grows with the square of its length. */
 const MAX_COMPARED_LENGTH = 200;
 
-/** Finds the candidate nearest to a name, unless none is near. */
+/** Returns the candidate closest to a name; undefined if none is close enough. */
 export const findNearest = (
   name: string,
   candidates: readonly string[],
--- a/packages/configuration/src/util/index-lines.ts
+++ b/packages/configuration/src/util/index-lines.ts
@@ -1,11 +1,12 @@
 /**
- * Finds the line of each key of a TOML text. The parser in use tells values,
- * not places, and an operator needs the place. The text must be valid TOML
- * already: the scanner trusts it and stops quietly where it does not follow.
+ * Finds the line of each key of a TOML text, so that problems can name it; the
+ * TOML parser returns values without positions. The text must be valid TOML.
+ * The scanner doesn't check it, and stops without an error where it can't
+ * continue.
  */
 import * as problems from '../problem.js';
 
-/** Lines, counted from 1, by formatted key path. */
+/** Line numbers, from 1, by formatted key path. */
 export type LineIndex = ReadonlyMap<string, number>;
 
 const SCALAR_END = new Set([',', ']', '}', '\n', '#']);
@@ -13,7 +14,7 @@
 
 class Scanner {
   readonly lines = new Map<string, number>();
-  /** Number of elements so far of each array of tables. */
+  /** Number of elements seen so far, by array of tables. */
   private readonly counts = new Map<string, number>();
   private position = 0;
   private line = 1;
@@ -64,7 +65,7 @@
     );
   }
 
-  /** A table under an array of tables belongs to the array's last element. */
+  /** Resolves an array of tables to its last element, which later keys extend. */
   private resolveLast(path: problems.KeyPath): problems.KeyPath {
     const count = this.counts.get(problems.formatKey(path));
     return count === undefined ? path : [...path, count - 1];
@@ -142,7 +143,7 @@
     }
   }
 
-  /** Moves to the next item of a list; false past its closing bracket. */
+  /** Moves to the next item; false if the closing bracket was consumed. */
   private skipToItem(close: string): boolean {
     this.skipBlank();
     if (this.peek() === ',') {
@@ -156,7 +157,7 @@
     return this.position < this.text.length;
   }
 
-  /** Consumes a string of any of the four kinds and returns its raw text. */
+  /** Consumes a string of any of the four TOML kinds, with its quotes. */
   private scanString(): string {
     const start = this.position;
     const quote = this.peek();
@@ -171,7 +172,7 @@
       this.advance(quote === '"' && this.peek() === '\\' ? 2 : 1);
     }
     this.advance(end.length);
-    // A long string may end in up to two quotes of its own.
+    // The content of a multi-line string may end in up to two quotes.
     while (isLong && this.peek() === quote) {
       this.advance(1);
     }
@@ -217,7 +218,7 @@
     }
   }
 
-  /** The first place of a path stands, also for the tables it implies. */
+  /** Records the line of a path and its parents, unless recorded before. */
   private record(path: problems.KeyPath, line: number): void {
     for (let length = path.length; length > 0; length--) {
       const key = problems.formatKey(path.slice(0, length));
@@ -237,14 +238,14 @@
   }
 };
 
-/** Indexes the lines of all keys of a valid TOML text. */
+/** Returns the lines of all keys of a valid TOML text. */
 export const indexLines = (text: string): LineIndex => {
   const scanner = new Scanner(text);
   scanner.scan();
   return scanner.lines;
 };
 
-/** Line of a path, or of the nearest table around it. */
+/** Returns the line of a path or else of its closest recorded parent. */
 export const findLine = (
   lines: LineIndex,
   path: problems.KeyPath,
--- a/packages/configuration/src/util/read-toml.ts
+++ b/packages/configuration/src/util/read-toml.ts
@@ -1,10 +1,10 @@
-/** Reads TOML into plain data; every failure is a problem in its file. */
+/** Parses TOML into plain data, and places findings at lines of the file. */
 import * as purify from 'purify-ts';
 import * as toml from 'smol-toml';
 import * as problems from '../problem.js';
 import * as lineIndex from './index-lines.js';
 
-/** TOML data with the places of its keys. */
+/** Parsed TOML file with the lines of its keys. */
 export interface TomlFile {
   readonly file: string;
   readonly data: Readonly<Record<string, unknown>>;
@@ -14,7 +14,7 @@
 const describeSyntax = (error: unknown, file: string): problems.Problem => {
   const location = error instanceof toml.TomlError ? {line: error.line} : {};
   const text = error instanceof Error ? error.message : String(error);
-  // The parser appends a picture of the source; the first line says it all.
+  // The parser appends a code excerpt; the first line has the reason.
   const message = text.split('\n')[0] ?? text;
   return {
     file,
@@ -25,7 +25,10 @@
   };
 };
 
-/** Parses TOML of at most `maxBytes`, counted in UTF-8. */
+/**
+ * Parses TOML of at most `maxBytes` in UTF-8. A larger text gives `too_large`,
+ * an invalid one `syntax`.
+ */
 export const readToml = (
   text: string,
   file: string,
@@ -57,7 +60,7 @@
   };
 };
 
-/** Places findings in their file, in order of lines. */
+/** Adds file and line to findings and sorts them by line. */
 export const locateFindings = (
   source: TomlFile,
   findings: readonly problems.Finding[],
--- a/packages/configuration/tests/examples.test.ts
+++ b/packages/configuration/tests/examples.test.ts
@@ -21,7 +21,7 @@
   return configuration.parseInstances(read(file), file).unsafeCoerce();
 };
 
-/** Everything that a document needs to be served somewhere. */
+/** Active versions and services, which instances must serve. */
 const listNeeded = (document: configuration.Document): readonly string[] => [
   ...document.models.flatMap(model =>
     model.versions
@@ -32,13 +32,13 @@
 ];
 
 describe('examples', () => {
-  // Each row: name, zones, engines, services, as the brief gives them.
+  // Each row: name, and required numbers of zones, engines and services.
   const deployments: readonly (readonly [string, number, number, number])[] = [
     ['rostering', 4, 8, 4],
     ['meetups', 3, 6, 3],
   ];
   for (const [name, zones, engines, services] of deployments) {
-    it(`${name} has the sizes of its deployment`, () => {
+    it(`${name} has the required numbers of zones, workspaces and instances`, () => {
       const document = readDocument(name);
       const roles = readInstances(name).map(instance => instance.role);
       chai.expect(document.zones.length).equal(zones);
@@ -51,7 +51,7 @@
         .equal(services);
     });
 
-    it(`${name} is served by its instances, in its zones`, () => {
+    it(`${name} has instances in all zones that serve all it needs`, () => {
       const document = readDocument(name);
       const instances = readInstances(name);
       chai
@@ -63,7 +63,7 @@
     });
   }
 
-  it('settings have the default limits, written out', () => {
+  it('settings.toml lists the default limits', () => {
     const text = read('settings.toml');
     const settings = configuration
       .parseSettings(text, 'settings.toml')
@@ -74,7 +74,7 @@
     chai.expect(settings).eql(withoutLimits);
   });
 
-  it('refuses two instances of one id', () => {
+  it('parseInstances refuses two instances with the same id', () => {
     const text = read('meetups-instances.toml').replace('engine-2', 'engine-1');
     const found = configuration.parseInstances(text, 'list.toml').swap();
     chai
--- a/packages/configuration/tests/parse-document.test.ts
+++ b/packages/configuration/tests/parse-document.test.ts
@@ -3,7 +3,7 @@
 
 const digest = (digit: string): string => `sha256:${digit.repeat(64)}`;
 
-/** A valid document; each part can be replaced as TOML text. */
+/** A valid document as TOML; parts can be replaced or added. */
 const createText = (parts: Readonly<Record<string, string>> = {}): string =>
   Object.values({
     models: `
@@ -87,7 +87,7 @@
   const rule = (allow: string, workspaces = '*'): string =>
     `[[rules]]\nworkspaces = ["${workspaces}"]\nallow = ${allow}\n`;
 
-  // Each row: code, key and nearest name; and the part with the fault.
+  // Each row: expected code, key and nearest name; and the part with the fault.
   const invalid: readonly (readonly [
     string,
     Readonly<Record<string, string>>,
@@ -241,7 +241,7 @@
     });
   }
 
-  it('reports all problems with their lines, in order', () => {
+  it('reports all problems with their lines, sorted by line', () => {
     const text = createText({
       zones: '[zones.z1]\nstat = "in"\n\n[zones.z2]\nstate = "off"\n',
       rules: rule('[\n"cascade:draft",\n"cascade:draught"]'),
@@ -262,7 +262,7 @@
       .eql([['missing_key', 'zones']]);
   });
 
-  it('refuses more than a megabyte before parsing it', () => {
+  it('refuses more than a megabyte without parsing it', () => {
     const text = `${createText()}# ${'x'.repeat(1_000_000)}`;
     chai.expect(problemsOf(text).map(one => one.code)).eql(['too_large']);
   });
@@ -277,14 +277,14 @@
   );
   const large: readonly (readonly [string, string, string])[] = [
     [
-      'more items than a message lists',
+      'more sections than a message can list',
       many(400, i => `[zones.a${i}]\n[services.s${i}]\ncost_per_call = 1\n`) +
         many(400, i => `[cascades.c${i}]\nstages = ["small"]\n`) +
         copies,
       'out_of_range',
     ],
     [
-      'rules for all that blow up once published',
+      'rules for all workspaces that make the published sections too large',
       many(
         180,
         i => `[cascades.long-name-of-a-cascade-${i}]\nstages = ["small"]\n`,
@@ -304,7 +304,7 @@
     });
   }
 
-  it('shows a problem in one line', () => {
+  it('gives problems that formatProblem writes as one line', () => {
     const [problem] = problemsOf(createText({other: '[zone.x]\n'}));
     chai
       .expect(problem && configuration.formatProblem(problem))
@@ -326,12 +326,18 @@
     boolean,
     boolean,
   ])[] = [
-    ['nothing', [], 'v1', false, false],
-    ['a cascade, within it only', [draft], 'v1', false, true],
-    ['a model everywhere', [small], 'v1', true, true],
+    ['nothing without a target', [], 'v1', false, false],
+    ['the stages of a cascade within it only', [draft], 'v1', false, true],
+    ['a model within and outside a cascade', [small], 'v1', true, true],
     ['the pinned version', [draft, pinned], 'v1', true, true],
     ['no other than the pinned version', [draft, pinned], 'v2', false, false],
-    ['all versions beside a pin', [small, pinned], 'v2', true, true],
+    [
+      'all versions if a target without a version exists',
+      [small, pinned],
+      'v2',
+      true,
+      true,
+    ],
   ];
   for (const [title, allowed, version, direct, within] of cases) {
     it(`allows ${title}`, () => {
@@ -342,7 +348,7 @@
     });
   }
 
-  it('lists the versions of a pin', () => {
+  it('limits listAllowedVersions to the pinned versions', () => {
     const document = parse(createText()) as configuration.Document;
     const model = document.models.find(found => found.name === 'small')!;
     const versions = configuration.listAllowedVersions(
--- a/packages/configuration/tests/parse-settings.test.ts
+++ b/packages/configuration/tests/parse-settings.test.ts
@@ -56,7 +56,7 @@
   const invalid: readonly (readonly [string, string, string, string])[] = [
     ['no id', createText({id: ''}), 'missing_key', 'instance.id'],
     [
-      'a host name to listen on',
+      'a host name as listen address',
       createText({listen: '"localhost:80"'}),
       'invalid_value',
       'instance.listen',
@@ -68,13 +68,13 @@
       'instance.listen',
     ],
     [
-      'all addresses and none to advertise',
+      'an unspecified address without one to advertise',
       createText({listen: '"0.0.0.0:8080"'}),
       'invalid_value',
       'instance.advertise',
     ],
     [
-      'an endpoint that is no URL',
+      'an endpoint that is not a URL',
       createText({object_api: '"127.0.0.1:9001"'}),
       'invalid_value',
       'platform.object_api',
@@ -87,13 +87,13 @@
     ],
     ['no key', createText({inner_key: ''}), 'missing_key', 'keys.inner_key'],
     [
-      'a grace that cuts requests',
+      'a grace period that cuts off requests',
       createText({}, '[limits]\nstop_grace_ms = 1000\n'),
       'out_of_range',
       'limits.stop_grace_ms',
     ],
     [
-      'a body bound of nought',
+      'a body limit of 0',
       createText({}, '[limits]\nmax_body_bytes = 0\n'),
       'out_of_range',
       'limits.max_body_bytes',
@@ -126,10 +126,10 @@
 describe('readSecret', () => {
   const secret = {kind: 'file', path: 'session.key'} as const;
   const cases: readonly (readonly [string, () => string, unknown])[] = [
-    ['reads a file without its line end', () => `${SECRET}\n`, SECRET],
-    ['refuses a short file', () => 'short', 'too_short'],
+    ['reads a file and removes its line end', () => `${SECRET}\n`, SECRET],
+    ['refuses a file with a short secret', () => 'short', 'too_short'],
     [
-      'refuses a file that can not be read',
+      'refuses a file that cannot be read',
       () => {
         throw new Error('no such file');
       },
--- a/packages/configuration/tests/parsers-fuzz.test.ts
+++ b/packages/configuration/tests/parsers-fuzz.test.ts
@@ -7,7 +7,7 @@
 const SEED = 20_260_812;
 const RUNS = 300;
 
-/** Characters that steer a TOML parser, and a few that don't. */
+/** Characters with a meaning in TOML, and a few others. */
 const TOML_CHARACTERS = Array.from('[]{}="\'.,#\n a1\\\t');
 
 const read = (file: string): string =>
@@ -16,7 +16,7 @@
     'utf8',
   );
 
-/** Tables whose keys are names of the operators' choice. */
+/** Tables whose keys are names that operators choose. */
 const NAMED_TABLES: ReadonlySet<string> = new Set([
   'models',
   'versions',
@@ -52,7 +52,7 @@
 ): readonly configuration.Problem[] =>
   parse(text, 'x.toml').swap().orDefault([]);
 
-/** Every problem names file and key, and a line that the text has. */
+/** Checks that each problem names the file, a key and an existing line. */
 const checkLocations = (
   found: readonly configuration.Problem[],
   text: string,
@@ -103,13 +103,13 @@
   fc.dictionary(fc.constantFrom('constructor', 'x', 'state'), fc.string()),
 );
 
-describe('parsers under bad input', () => {
+describe('parsers of invalid input', () => {
   for (const [name, parse, example] of parsers) {
     const options = {seed: SEED, numRuns: RUNS};
     const tree = toml.parse(example) as Tree;
     const paths = listPaths(tree);
 
-    it(`${name} takes any text`, () => {
+    it(`${name} reports problems at valid locations for any text`, () => {
       const texts = fc.oneof(
         fc.string({unit: 'binary', maxLength: 200}),
         fc.array(fc.constantFrom(...TOML_CHARACTERS), {maxLength: 60}),
@@ -123,7 +123,7 @@
       );
     });
 
-    it(`${name} takes an example with a piece cut or put in`, () => {
+    it(`${name} handles an example with text removed and inserted`, () => {
       const place = fc.nat(example.length);
       fc.assert(
         fc.property(place, fc.nat(40), fc.string(), (start, length, added) => {
@@ -135,7 +135,7 @@
       );
     });
 
-    it(`${name} takes any value at any key`, () => {
+    it(`${name} handles any value at any key`, () => {
       fc.assert(
         fc.property(fc.constantFrom(...paths), anyValue, (path, value) => {
           const changed = replaceAt(tree, path, (holder, key) => {
@@ -148,12 +148,12 @@
       );
     });
 
-    it(`${name} finds each misspelt key, at its line`, () => {
+    it(`${name} reports each misspelt key at its line`, () => {
       fc.assert(
         fc.property(fc.constantFrom(...paths), path => {
           const key = path.at(-1)!;
           if (/^\d+$/.test(key)) {
-            return; // An element of an array has no key of its own.
+            return; // Array elements have no keys.
           }
           const changed = replaceAt(tree, path, (holder, old) => {
             holder[`${old}-x`] = holder[old];
@@ -166,7 +166,7 @@
             const own = problem.key.includes(`${key}-x`);
             return own || problem.message.includes(key);
           });
-          // A name that nothing refers to may be any other name.
+          // Names that nothing refers to can be changed without a problem.
           const isName = NAMED_TABLES.has(path.at(-2) ?? '');
           chai
             .expect(named.length > 0 || (isName && found.length === 0))
@@ -182,7 +182,7 @@
     });
   }
 
-  it('reports two planted faults together, whatever they are', () => {
+  it('reports any two of the injected faults together', () => {
     const text = read('meetups.toml');
     const faults: readonly (readonly [string, string, string])[] = [
       ['cost_per_call = 0.01', 'cost_per_cal = 0.01', 'unknown_key'],
@@ -198,13 +198,13 @@
       problemsOf(configuration.parseDocument, changed).map(one => one.code);
     for (const [from, to, code] of faults) {
       for (const [otherFrom, otherTo, otherCode] of faults) {
-        const planted = text.replace(from, to).replace(otherFrom, otherTo);
-        chai.expect(codesOf(planted)).include.members([code, otherCode]);
+        const faulty = text.replace(from, to).replace(otherFrom, otherTo);
+        chai.expect(codesOf(faulty)).include.members([code, otherCode]);
       }
     }
   });
 
-  it('refuses deep nesting without falling over', () => {
+  it('refuses deep nesting without a stack overflow', () => {
     const text = `x = ${'['.repeat(100_000)}${']'.repeat(100_000)}`;
     const found = problemsOf(configuration.parseDocument, text);
     chai.expect(found.map(one => one.code)).eql(['syntax']);
--- a/packages/configuration/tests/sections.test.ts
+++ b/packages/configuration/tests/sections.test.ts
@@ -69,9 +69,9 @@
 });
 
 describe('splitDocument', () => {
-  it('gives sections that join to an equal document', () => {
+  it('creates sections that join to an equal document', () => {
     const {manifest, sections} = configuration.splitDocument(createDocument());
-    // The platform and peers hold copies of their own.
+    // Values from the platform and peers are copies, not the same objects.
     const copies = JSON.parse(
       JSON.stringify(sections),
     ) as readonly configuration.Section[];
@@ -82,7 +82,7 @@
     chai.expect(joined.extract()).eql(createDocument());
   });
 
-  it('gives one digest whatever the order of members', () => {
+  it('gives the same digest for any order of members', () => {
     const document = createDocument();
     const reversed = Object.fromEntries(
       Object.entries(document).reverse(),
@@ -92,7 +92,7 @@
       .equal(configuration.digestDocument(document));
   });
 
-  it('touches one section when one zone changes', () => {
+  it('changes one section when one zone changes', () => {
     const before = configuration.splitDocument(createDocument());
     const after = configuration.splitDocument(withZoneOut(createDocument()));
     const changed = configuration.listChangedSections(
@@ -103,7 +103,7 @@
     chai.expect(after.digest).not.equal(before.digest);
   });
 
-  it('covers every part of the document', () => {
+  it('creates a section for each item of the document', () => {
     const {sections} = configuration.splitDocument(createDocument());
     chai
       .expect(sections.map(({name}) => name))
@@ -140,19 +140,19 @@
     string,
   ])[] = [
     [
-      'a section that is not at hand',
+      'a section whose value is not available',
       manifest,
       replaceValue(undefined),
       'missing_section',
     ],
     [
-      'a value that was changed on its way',
+      'a value that was changed in transit',
       manifest,
       replaceValue({name: 'draft', stages: []}),
       'digest_mismatch',
     ],
     [
-      'a section of a later program',
+      'a section of a later release',
       addEntry('quotas/north'),
       find,
       'unknown_section',
@@ -173,7 +173,7 @@
 });
 
 describe('diffDocuments', () => {
-  it('lists changes in the words of the file', () => {
+  it('lists changes by their TOML keys', () => {
     const before = createDocument();
     const [north, ...others] = before.workspaces;
     const after: configuration.Document = {
@@ -197,7 +197,7 @@
       ]);
   });
 
-  it('finds nothing between equal documents', () => {
+  it('returns no changes between equal documents', () => {
     const changes = configuration.diffDocuments(
       createDocument(),
       createDocument(),
--- a/packages/telemetry/src/decision-log.ts
+++ b/packages/telemetry/src/decision-log.ts
@@ -1,47 +1,49 @@
 /**
- * Decisions and beliefs of one instance as JSON lines: what was decided, for
- * which request, from which inputs, and how old they were.
+ * Logs the decisions of one instance and changes of what it knows, as JSON
+ * lines: what was decided, for which request, from which inputs, and how old
+ * these were.
  *
- * Volume is bounded twice: lines about requests by a rate, whole requests kept
- * or left out, and all lines by what the reader of the output has not taken.
- * A reader that stops reading costs lines, never time.
+ * Two bounds keep the volume in check. Lines about requests are limited by a
+ * rate, so that a request is logged with all its steps or without any. All
+ * lines are limited by the backlog of the output: if its reader stops, lines
+ * are dropped and requests are not delayed.
  */
 import * as stream from 'node:stream';
 import * as winston from 'winston';
 import type * as logger from './logger.js';
 
-/** What is decided about a request. */
+/** Decisions about a request, and how it ended. */
 export type RequestEvent =
-  /** An upstream was chosen for a try. */
+  /** An upstream was chosen for an attempt. */
   | 'request_placed'
-  /** No upstream was chosen for a try. */
+  /** No upstream could be chosen for an attempt. */
   | 'try_not_placed'
-  /** A try ended without a usable answer. */
+  /** An attempt ended without a usable answer. */
   | 'try_failed'
-  /** A cheap model's answer was taken, or a more capable one runs. */
+  /** A cheap model's answer was accepted or escalated to a capable model. */
   | 'model_judged'
-  /** A broken stream goes on at another upstream. */
+  /** A broken stream is resumed at another upstream. */
   | 'stream_resumed'
-  /** The final answer is an upstream's. */
+  /** The final answer came from an upstream. */
   | 'request_answered'
-  /** The final answer is the gateway's own. */
+  /** The final answer is an error of the gateway. */
   | 'request_refused'
   /** The answer broke off after it had begun. */
   | 'answer_broken'
-  /** The caller left before the final answer. */
+  /** The caller disconnected before the final answer. */
   | 'caller_left';
 
-/** What changes what the instance believes, and its life. */
+/** Changes of what the instance knows, and of its lifecycle. */
 export type InstanceEvent =
   | 'instance_started'
-  /** A peer was asked at the start for what it knows of the store. */
+  /** At the start, a peer was asked for its copy of the store's data. */
   | 'seed_asked'
   | 'instance_serving'
   | 'instance_stopping'
   | 'instance_stopped'
-  /** Another instance watches the store for this one, or none does. */
+  /** Another instance now watches the store for this one, or none does. */
   | 'watch_source_changed'
-  /** This instance begins or ceases to watch the store for others. */
+  /** This instance started or stopped watching the store for others. */
   | 'watch_role_changed'
   | 'settings_reloaded'
   | 'settings_refused'
@@ -49,14 +51,14 @@
   | 'configuration_refused'
   | 'configuration_unconfirmed'
   | 'configuration_confirmed'
-  /** Upstreams came, changed, leave or are gone. */
+  /** Upstreams were added, changed, are leaving or were removed. */
   | 'upstreams_changed'
-  /** Entries that vanish are kept for a while: they may have lapsed. */
+  /** Vanished entries are kept for a while, as they may only have lapsed. */
   | 'lapse_suspected'
-  /** The store is asked, since what is known is too old. */
+  /** The store was queried because the known data is too old. */
   | 'store_asked'
   | 'upstream_rested'
-  /** An upstream names how much it takes from all instances, or no longer. */
+  /** An upstream announced or lifted its limit for all instances together. */
   | 'upstream_limited'
   | 'zones_out'
   | 'rollout_followed'
@@ -64,14 +66,14 @@
   | 'rollout_reported'
   | 'peer_heard'
   | 'peer_lost'
-  /** A peer did not take a message, or gave an answer that is none. */
+  /** A peer refused a message or gave an invalid answer. */
   | 'peer_message_refused'
   | 'store_lost'
   | 'store_regained'
   | 'log_lines_dropped'
   | 'internal_error';
 
-/** Everything that is logged. */
+/** Event names of all log lines. */
 export type LogEvent = RequestEvent | InstanceEvent;
 
 /** Inputs and outcome of a decision; ages in milliseconds. */
@@ -79,42 +81,41 @@
   Record<string, string | number | boolean | readonly string[] | undefined>
 >;
 
-/** Settings of a log. */
 export interface DecisionLogOptions {
   readonly instance: string;
   readonly level: logger.LogLevel;
-  /** Where lines go; the process's standard output by default. */
+  /** Receives the lines; standard output by default. */
   readonly output?: stream.Writable;
   /** Monotonic time in milliseconds. */
   readonly now: () => number;
   /**
-   * Called for every event, logged or not. The reason is given for events of
-   * requests alone, where it is one of few.
+   * Called for every event, logged or not. `reason` is set only for events of
+   * requests, where it is one of a few values.
    */
   readonly onEvent?: (event: LogEvent, reason?: string) => void;
 }
 
 /**
- * Requests a second that are logged whole. At ten lines a request and some
- * 300 bytes a line that is 150 KB/s, and under a hundredth of a core.
+ * Requests per second that are logged with all their steps. At ten lines per
+ * request and 300 bytes per line this is 150 KB/s, and less than 1% of a core.
  */
 const SAMPLED_REQUESTS_PER_SECOND = 50;
 
 /**
- * Lines a second about failed and refused requests beyond those that are
- * logged whole: a day on which everything fails must not fill the disk.
+ * Lines per second about failed and refused requests that are not sampled.
+ * Keeps the log from filling the disk when all requests fail for a day.
  */
 const FAILURE_LINES_PER_SECOND = 100;
 
-/** Bytes that the output's reader may be behind, half a megabyte. */
+/** Unread bytes in the output above which lines are dropped. */
 const MAX_BACKLOG_BYTES = 524_288;
 
-/** Longest time between two lines that tell how many were dropped, in ms. */
+/** Minimum time between two reports of dropped lines. */
 const DROPPED_REPORT_INTERVAL_MS = 1_000;
 
 const MS_PER_S = 1_000;
 
-/** Tokens that come at a rate; at most a second's worth is saved up. */
+/** Token bucket that holds at most the tokens of one second. */
 class TokenBucket {
   private tokens: number;
   private lastMs: number;
@@ -139,7 +140,7 @@
   }
 }
 
-/** Passes lines on while their reader keeps up, and drops them otherwise. */
+/** Forwards lines to an output, and drops them while its backlog is full. */
 const createBoundedOutput = (
   output: stream.Writable,
   onDrop: () => void,
@@ -156,15 +157,18 @@
     },
   });
 
-/** Logs the decisions about one request. */
+/** Log of the decisions about one request. */
 export interface RequestLog {
-  /** A step on the way; logged for requests that are logged whole. */
+  /** Records an intermediate step; logged for sampled requests only. */
   readonly step: (event: RequestEvent, details: Details) => void;
-  /** An end that is no answer, or a bad one; logged for every request. */
+  /**
+   * Records a request or attempt that ended without a good answer. Logged for
+   * sampled requests, and for others up to a rate.
+   */
   readonly failure: (event: RequestEvent, details: Details) => void;
 }
 
-/** The log of one instance. */
+/** Writes the bounded log of one instance. */
 export class DecisionLog {
   private readonly lines: winston.Logger;
   private readonly requests: TokenBucket;
@@ -196,19 +200,19 @@
     });
   }
 
-  /** Logs a change of what the instance believes. */
+  /** Logs a change of what the instance knows, or of its lifecycle. */
   info(event: InstanceEvent, details: Details = {}): void {
     this.options.onEvent?.(event);
     this.write('info', event, details);
   }
 
-  /** Logs something that the instance could not do. */
+  /** Logs a failure, or something that the instance could not do. */
   warn(event: InstanceEvent, details: Details = {}): void {
     this.options.onEvent?.(event);
     this.write('warn', event, details);
   }
 
-  /** The log of one request; decides once whether it is logged whole. */
+  /** Creates the log of one request and decides whether it is sampled. */
   forRequest(id: string): RequestLog {
     const isSampled = this.requests.take(this.options.now());
     const count = (event: RequestEvent, {reason}: Details) =>
@@ -234,7 +238,7 @@
     };
   }
 
-  /** Tells how many lines were dropped, if any. */
+  /** Logs how many lines were dropped since the last report, if any. */
   reportDroppedLines(): void {
     const now = this.options.now();
     if (
--- a/packages/telemetry/src/draw-timeline.ts
+++ b/packages/telemetry/src/draw-timeline.ts
@@ -1,4 +1,4 @@
-/** The time line as a picture: a row for each instance, a mark for each event. */
+/** Draws a time line as SVG: a row per instance and a mark per event. */
 import type * as eventRing from './event-ring.js';
 
 const ROW_HEIGHT = 28;
@@ -7,7 +7,7 @@
 const MARGIN = 20;
 const MARK_RADIUS = 4;
 
-/** How an event bears on a request: what the colour of its mark tells. */
+/** Effect of an event on requests, shown as the colour of its mark. */
 type Tone = 'good' | 'bad' | 'neutral';
 
 const COLOURS: Readonly<Record<Tone, string>> = {
@@ -56,9 +56,10 @@
   text.replaceAll(/[&<>"]/g, character => ENTITIES[character] ?? '');
 
 /**
- * Draws merged events as SVG; a mark's title, shown on hovering, is its line.
+ * Draws merged events, ordered by time, as SVG.
  *
- * @param format one line of text for an event
+ * @param format writes an event as one line of text, which is the tooltip of
+ *   its mark.
  */
 export const drawTimeline = (
   events: readonly eventRing.TimelineEvent[],
--- a/packages/telemetry/src/event-ring.ts
+++ b/packages/telemetry/src/event-ring.ts
@@ -1,7 +1,7 @@
-/** The time line of one process: a bounded ring of typed events. */
+/** Keeps the latest events of one process for the time line. */
 import * as hybridClock from './hybrid-clock.js';
 
-/** What happened. */
+/** Names of events; they leave the process in JSON. */
 export type EventName =
   | 'instance_started'
   | 'instance_leaving'
@@ -36,7 +36,7 @@
   | 'platform_unavailable'
   | 'platform_available';
 
-/** What an event is about; all optional, for filters. */
+/** What an event is about. The fields can be filtered by. */
 export interface Subject {
   readonly request?: string;
   readonly workspace?: string;
@@ -47,7 +47,7 @@
   readonly detail?: string;
 }
 
-/** One event on the time line. */
+/** One event, numbered per process in the order of recording. */
 export interface TimelineEvent extends Subject {
   readonly name: EventName;
   readonly instance: string;
@@ -55,10 +55,10 @@
   readonly stamp: hybridClock.Timestamp;
 }
 
-/** Events kept for each process; the oldest go first. */
+/** Events kept per process; the oldest are overwritten first. */
 export const DEFAULT_RING_SIZE = 10_000;
 
-/** Keeps the latest events of one process. */
+/** Ring buffer of the events of one process. */
 export class EventRing {
   private readonly events: TimelineEvent[] = [];
   private sequence = 0;
@@ -69,7 +69,7 @@
     private readonly size = DEFAULT_RING_SIZE,
   ) {}
 
-  /** Records an event. */
+  /** Appends an event with the next timestamp, overwriting the oldest. */
   record(name: EventName, subject: Subject = {}): void {
     this.events[this.sequence % this.size] = {
       name,
@@ -81,7 +81,7 @@
     this.sequence++;
   }
 
-  /** Events from `afterSequence` on, oldest first, at most `limit`. */
+  /** Returns up to `limit` events after `afterSequence`, oldest first. */
   read(afterSequence = -1, limit = this.size): readonly TimelineEvent[] {
     const oldest = Math.max(0, this.sequence - this.size, afterSequence + 1);
     const end = Math.min(this.sequence, oldest + limit);
--- a/packages/telemetry/src/explain-request.ts
+++ b/packages/telemetry/src/explain-request.ts
@@ -1,9 +1,9 @@
 /**
- * Puts one request's story together from the log lines of several instances:
- * what was decided about it, and what each instance that decided believed then.
+ * Explains one request from the log lines of several instances: what was
+ * decided about it, and what each deciding instance knew at that time.
  */
 
-/** One line of a log. */
+/** One parsed line of the decision log. */
 export interface LogLine {
   readonly atMs: number;
   readonly instance: string;
@@ -13,23 +13,23 @@
   readonly details: Readonly<Record<string, unknown>>;
 }
 
-/** A belief that an instance held, and since when. */
-export interface HeldBelief {
+/** An earlier event that tells what an instance knew when it decided. */
+export interface PriorEvent {
   readonly line: LogLine;
-  /** Time from it to the instance's first decision about the request, in ms. */
+  /** Time from the event to the instance's first decision, in ms. */
   readonly ageMs: number;
 }
 
-/** One request's story. */
+/** What is known of one request. */
 export interface RequestExplanation {
-  /** Decisions about the request, in order of time. */
+  /** Decisions about the request, ordered by time. */
   readonly lines: readonly LogLine[];
-  /** What the instances concerned believed at their first decision. */
-  readonly beliefs: readonly HeldBelief[];
+  /** What each deciding instance knew at its first decision. */
+  readonly beliefs: readonly PriorEvent[];
 }
 
-/** Beliefs of which the latest is told, whatever the request met. */
-const GENERAL_BELIEFS: ReadonlySet<string> = new Set([
+/** Events whose latest line before the decision is always shown. */
+const GENERAL_EVENTS: ReadonlySet<string> = new Set([
   'configuration_in_force',
   'zones_out',
   'store_lost',
@@ -42,8 +42,8 @@
   'instance_stopping',
 ]);
 
-/** Beliefs that are told where they concern an upstream that was tried. */
-const UPSTREAM_BELIEFS: ReadonlySet<string> = new Set([
+/** Events that are shown if they concern an upstream that was attempted. */
+const UPSTREAM_EVENTS: ReadonlySet<string> = new Set([
   'upstreams_changed',
   'upstream_rested',
   'upstream_limited',
@@ -52,7 +52,10 @@
 const readText = (value: unknown): string | undefined =>
   typeof value === 'string' ? value : undefined;
 
-/** Reads one line; collectors may have put text before the JSON object. */
+/**
+ * Parses one line; undefined if it is not a line of the log. Log collectors may
+ * have put text before the JSON object.
+ */
 export const parseLogLine = (text: string): LogLine | undefined => {
   const start = text.indexOf('{');
   if (start < 0) {
@@ -80,7 +83,7 @@
     : {atMs, instance: from, event, request: readText(request), details: rest};
 };
 
-/** The story of a request; undefined where no line names it. */
+/** Explains a request; undefined if no line names it. */
 export const explainRequest = (
   all: readonly LogLine[],
   request: string,
@@ -92,16 +95,16 @@
   }
   const instances = [...new Set(lines.map(({instance}) => instance))];
   const beliefs = instances.flatMap(instance =>
-    findBeliefs(ordered, lines, instance),
+    findPriorEvents(ordered, lines, instance),
   );
   return {lines, beliefs};
 };
 
-const findBeliefs = (
+const findPriorEvents = (
   ordered: readonly LogLine[],
   lines: readonly LogLine[],
   instance: string,
-): readonly HeldBelief[] => {
+): readonly PriorEvent[] => {
   const own = lines.filter(line => line.instance === instance);
   const fromMs = own[0]?.atMs ?? 0;
   const attempted = [...new Set(own.map(({details}) => details['upstream']))];
@@ -110,9 +113,9 @@
     if (line.instance !== instance || line.atMs > fromMs) {
       continue;
     }
-    if (GENERAL_BELIEFS.has(line.event)) {
+    if (GENERAL_EVENTS.has(line.event)) {
       latest.set(line.event, line);
-    } else if (UPSTREAM_BELIEFS.has(line.event)) {
+    } else if (UPSTREAM_EVENTS.has(line.event)) {
       const mentioned = attempted.filter(upstream =>
         mentionsUpstream(line, upstream),
       );
@@ -125,7 +128,7 @@
   return [...latest.values()].map(line => ({line, ageMs: fromMs - line.atMs}));
 };
 
-/** Of lists in a line, what concerns an upstream; there may be dozens in one. */
+/** Reduces the lists of a line, which can hold dozens of ids, to an upstream. */
 const filterLists = (line: LogLine, upstream: unknown): LogLine => {
   const details = Object.entries(line.details).flatMap(([name, value]) => {
     if (!Array.isArray(value)) {
@@ -136,7 +139,7 @@
   return {...line, details: Object.fromEntries(details)};
 };
 
-/** Whether a line is about an upstream, alone or among others. */
+/** Whether a field of a line is the upstream's id or a list that has it. */
 const mentionsUpstream = ({details}: LogLine, upstream: unknown): boolean =>
   Object.values(details).some(
     value =>
@@ -148,19 +151,21 @@
     .map(([name, value]) => `${name}=${JSON.stringify(value)}`)
     .join(' ');
 
-/** Writes a story as text: beliefs with their age, then what was decided. */
+/** Formats an explanation: what was known and how old it was, then decisions. */
 export const formatExplanation = ({
   lines,
   beliefs,
 }: RequestExplanation): string => {
   const startMs = lines[0]?.atMs ?? 0;
-  const believed = beliefs.map(
+  const knownLines = beliefs.map(
     ({line, ageMs}) =>
       `  ${line.instance} ${line.event} ${ageMs} ms before: ${formatDetails(line.details)}`,
   );
-  const decided = lines.map(
+  const decisionLines = lines.map(
     ({atMs, instance, event, details}) =>
       `  +${atMs - startMs} ms ${instance} ${event} ${formatDetails(details)}`,
   );
-  return ['believed:', ...believed, 'decided:', ...decided, ''].join('\n');
+  return ['believed:', ...knownLines, 'decided:', ...decisionLines, ''].join(
+    '\n',
+  );
 };
--- a/packages/telemetry/src/gateway-metrics.ts
+++ b/packages/telemetry/src/gateway-metrics.ts
@@ -1,41 +1,40 @@
 /**
- * Counters and latency histograms of one gateway instance. Labels are bounded:
- * they come from unions in the code and from kinds of routes, never from
- * callers.
+ * Metrics of one gateway instance. Label values come from unions in the code
+ * and from kinds of routes, never from callers, so their number is bounded.
  */
 import * as client from 'prom-client';
 import type * as decisionLog from './decision-log.js';
 
-/** Bounds of the latency histograms' buckets, in seconds. */
+/** Upper bounds of the buckets of the latency histograms, in seconds. */
 const LATENCY_BUCKETS = [0.02, 0.05, 0.1, 0.2, 0.5, 1, 1.7, 3, 5, 10, 25];
 
 const MS_PER_S = 1_000;
 
-/** One request that was accepted, at its end. */
+/** Measurements of one accepted request, taken when it ends. */
 export interface RequestSample {
-  /** Kind of its route. */
+  /** Kind of the request's route. */
   readonly kind: string;
-  /** Time to the answer's first byte, in ms; undefined where none was sent. */
+  /** Time to the first byte of the answer; undefined if none was sent. */
   readonly firstByteMs: number | undefined;
   readonly tookMs: number;
 }
 
-/** What is read when metrics are collected. */
+/** Values of the gauges, read at each collection. */
 export interface GaugeReadings {
   readonly inProgress: number;
-  /** Time since the configuration was confirmed, in milliseconds. */
+  /** Time since the configuration was confirmed; undefined before the first. */
   readonly configurationAgeMs: number | undefined;
   readonly upstreams: number;
-  /** Time since the list of upstreams was confirmed, in milliseconds. */
+  /** Time since the upstreams were confirmed; undefined before the first. */
   readonly upstreamsAgeMs: number | undefined;
-  /** Instances that take callers, this one included. */
+  /** Instances that accept callers, including this one. */
   readonly servingInstances: number;
 }
 
 const toSeconds = (ageMs: number | undefined): number =>
   ageMs === undefined ? -1 : ageMs / MS_PER_S;
 
-/** The metrics of one instance. */
+/** Registers and updates the metrics of one gateway instance. */
 export class GatewayMetrics {
   private readonly registry = new client.Registry();
 
@@ -96,17 +95,17 @@
     );
   }
 
-  /** Counts a decision about a request, or a change of belief. */
+  /** Counts an event, whether or not it was logged. */
   recordEvent(event: decisionLog.LogEvent, reason = ''): void {
     this.events.inc({event, reason});
   }
 
-  /** Counts a call to the store. */
+  /** Counts a call to the store that lists or watches a kind of objects. */
   recordStoreCall(kind: string, outcome: string): void {
     this.storeCalls.inc({kind, outcome});
   }
 
-  /** Notes a request at its end. */
+  /** Records the latencies of a request that ended. */
   recordRequest({kind, firstByteMs, tookMs}: RequestSample): void {
     this.requestDuration.observe({kind}, tookMs / MS_PER_S);
     if (firstByteMs !== undefined) {
@@ -114,7 +113,7 @@
     }
   }
 
-  /** All metrics as text. */
+  /** Formats all metrics in the Prometheus text format. */
   format(): Promise<string> {
     return this.registry.metrics();
   }
--- a/packages/telemetry/src/logger.ts
+++ b/packages/telemetry/src/logger.ts
@@ -1,13 +1,13 @@
-/** Structured logs: one JSON object a line, on standard error. */
+/** Creates structured loggers that write JSON lines to standard error. */
 import * as winston from 'winston';
 
-/** How much is logged. */
+/** Least severe level that is logged. */
 export type LogLevel = 'error' | 'warn' | 'info' | 'debug';
 
-/** A log that carries the instance's identity on each line. */
+/** Logger that adds the instance's id to each line. */
 export type Logger = winston.Logger;
 
-/** Creates the log of one instance. */
+/** Creates the logger of one instance. */
 export const createLogger = (
   instance: string,
   level: LogLevel = 'info',
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -1,13 +1,14 @@
 /**
- * Metrics of one instance. Labels are bounded: workspaces, models and codes
- * come from the configuration in force, never from callers.
+ * Metrics of one entry instance. Label values are workspaces, models and codes
+ * of the active configuration, never texts of callers, so their number is
+ * bounded.
  */
 import * as client from 'prom-client';
 
-/** Bounds of the latency histogram's buckets, in seconds. */
+/** Upper bounds of the buckets of the latency histogram, in seconds. */
 const LATENCY_BUCKETS = [0.005, 0.02, 0.076, 0.25, 0.5, 1, 1.7, 3, 10, 30];
 
-/** The metrics an instance keeps. */
+/** Metrics and their registry; callers update the fields directly. */
 export class Metrics {
   readonly registry = new client.Registry();
 
--- a/packages/telemetry/src/timeline.ts
+++ b/packages/telemetry/src/timeline.ts
@@ -1,14 +1,14 @@
-/** Merging, filtering and printing the time lines of all processes. */
+/** Merges, filters and prints the time lines of several processes. */
 import type * as eventRing from './event-ring.js';
 import * as hybridClock from './hybrid-clock.js';
 
-/** Which events to show; every given field must match. */
+/** Selects events; all given fields must match exactly. */
 export type TimelineFilter = Pick<
   eventRing.Subject,
   'request' | 'workspace' | 'model' | 'version' | 'upstream' | 'zone'
 >;
 
-/** Fields that a time line can be filtered by. */
+/** Fields of `TimelineFilter`, in the order in which they are printed. */
 export const TIMELINE_FIELDS = [
   'request',
   'workspace',
@@ -26,7 +26,7 @@
     field => filter[field] === undefined || filter[field] === event[field],
   );
 
-/** Merges rings by stamp, so that a cause comes before its effect. */
+/** Merges events by timestamp, so that a cause comes before its effect. */
 export const mergeTimelines = (
   rings: readonly (readonly eventRing.TimelineEvent[])[],
   filter: TimelineFilter = {},
@@ -46,7 +46,7 @@
     .map(field => `${field}=${event[field] ?? ''}`)
     .join(' ');
 
-/** One line of text for an event. */
+/** Formats an event as one line of text. */
 export const formatEvent = (event: eventRing.TimelineEvent): string => {
   const time = new Date(event.stamp.wallMs).toISOString().slice(11, 23);
   const name = event.name.padEnd(24);
--- a/packages/telemetry/tests/decision-log.test.ts
+++ b/packages/telemetry/tests/decision-log.test.ts
@@ -2,10 +2,10 @@
 import * as chai from 'chai';
 import * as telemetry from '@amaranthknot/telemetry';
 
-/** Requests that are sent into the log in one second. */
+/** Requests that are logged within one second. */
 const FLOOD_REQUESTS = 2_000;
 
-/** Bytes of log that one second may bring, whatever happens. */
+/** Upper bound of the bytes that are logged in one second. */
 const MAX_BYTES = 400_000;
 
 const flood = (log: telemetry.DecisionLog): void => {
@@ -16,10 +16,10 @@
   }
 };
 
-describe('log of decisions', () => {
-  it('is bounded under a flood, keeps requests whole, and counts all', async () => {
-    // A day on which every request fails: the logs fill the disk of whoever
-    // collects them, and writing them takes the time of requests.
+describe('DecisionLog', () => {
+  it('bounds its volume, logs sampled requests whole and counts all events', async () => {
+    // Guards against logs that fill the collector's disk and delay requests
+    // when every request fails.
     let text = '';
     let nowMs = 0;
     let counted = 0;
@@ -59,7 +59,7 @@
     );
   });
 
-  it('drops lines and goes on when nobody reads its output', () => {
+  it('drops lines without blocking when nothing reads its output', () => {
     let nowMs = 0;
     const stuck = new stream.Writable({write: () => undefined});
     const log = new telemetry.DecisionLog({
--- a/packages/telemetry/tests/explain-request.test.ts
+++ b/packages/telemetry/tests/explain-request.test.ts
@@ -24,8 +24,8 @@
     id,
   );
 
-describe('the story of a request', () => {
-  it('is in order of time over instances, with what they believed', () => {
+describe('explainRequest', () => {
+  it('orders the lines of all instances by time and adds what these knew', () => {
     const explanation = explain(
       [
         lineOf(900, 'b', 'request_refused', {request: 'r', reason: 'stopping'}),
@@ -58,7 +58,7 @@
     chai.expect(text).contain('zones=["z"]').and.contain('leaving=["u"]');
   });
 
-  it('is missing for a request that no line names', () => {
+  it('returns undefined for a request that no line names', () => {
     chai.expect(explain([lineOf(0, 'a', 'zones_out')], 'r')).equal(undefined);
   });
 
@@ -70,12 +70,12 @@
   ];
 
   unreadable.forEach(text => {
-    it(`passes over ${JSON.stringify(text)}`, () => {
+    it(`skips ${JSON.stringify(text)}`, () => {
       chai.expect(telemetry.parseLogLine(text)).equal(undefined);
     });
   });
 
-  it('reads a line behind what a collector put before it', () => {
+  it('parses a line after a prefix that a collector added', () => {
     const text = `2026-01-01 front-1 ${lineOf(5, 'a', 'zones_out')}`;
     chai.expect(telemetry.parseLogLine(text)?.atMs).equal(5);
   });
--- a/packages/telemetry/tests/gateway-metrics.test.ts
+++ b/packages/telemetry/tests/gateway-metrics.test.ts
@@ -9,8 +9,8 @@
   servingInstances: 7,
 };
 
-describe('metrics of a gateway instance', () => {
-  it('give counts, latencies and what is read at a collection', async () => {
+describe('GatewayMetrics', () => {
+  it('formats counters, latencies and gauges read at the collection', async () => {
     const metrics = new telemetry.GatewayMetrics(() => READINGS);
     metrics.recordEvent('request_refused', 'no_upstream');
     metrics.recordEvent('store_lost');
