--- a/packages/amaranthknot/tests/answer-integrity.test.ts
+++ b/packages/amaranthknot/tests/answer-integrity.test.ts
@@ -5,7 +5,7 @@
 
 const PROMPT = 'tell me all about the meetup';
 
-/** As the stand-in engine answers. */
+/** The answer of the fake engine to `PROMPT`. */
 const expectedText = (model: string): string => `${model} answers: ${PROMPT}`;
 
 describe('a chat answer', () => {
@@ -28,8 +28,8 @@
     }
   };
 
-  // Chunks of another request, or one chunk twice, arrive on the stream, or it
-  // is cut at some token. The caller must get its own answer, each token once.
+  // The stream carries chunks of another request or a chunk twice, or is cut at
+  // some token. The caller must get its own answer, each token once.
   const cases: readonly {
     readonly name: string;
     readonly fault: fakes.EngineFault;
@@ -37,15 +37,20 @@
     readonly cutAfter: number;
   }[] = [
     {name: 'a doubled stream', fault: 'doubled', count: 9, cutAfter: 0},
-    {name: 'a crossed answer', fault: 'crossed', count: 1, cutAfter: 0},
+    {
+      name: 'an answer with chunks of another request',
+      fault: 'crossed',
+      count: 1,
+      cutAfter: 0,
+    },
     {name: 'a refusing upstream', fault: 'refuse', count: 1, cutAfter: 0},
     {name: 'a failing upstream', fault: 'error', count: 1, cutAfter: 0},
-    {name: 'a cut at the start', fault: 'cut', count: 1, cutAfter: 0},
+    {name: 'a cut before the first token', fault: 'cut', count: 1, cutAfter: 0},
     {name: 'a cut after a token', fault: 'cut', count: 1, cutAfter: 1},
     {name: 'a cut near the end', fault: 'cut', count: 1, cutAfter: 7},
   ];
   for (const {name, fault, count, cutAfter} of cases) {
-    it(`is whole after ${name}`, async () => {
+    it(`is complete after ${name}`, async () => {
       deployment.fakes.engines.forEach(engine => {
         engine.fault = 'none';
       });
@@ -66,9 +71,9 @@
     });
   }
 
-  // Every upstream cuts every stream. The part that came must not be passed on
-  // as a whole answer: no [DONE], an error event, and no bill.
-  it('is never given as whole when it is not', async () => {
+  // Every upstream cuts every stream. The part that was received must not be
+  // returned as a complete answer: no [DONE], an error event, and no bill.
+  it('is never reported as complete when it was cut', async () => {
     setFault('cut', Number.POSITIVE_INFINITY, 0);
     const plain = await fixtures.chat(deployment.addresses[0]!, PROMPT);
     chai.expect(plain.status).greaterThanOrEqual(500);
@@ -79,7 +84,7 @@
     chai.expect(streamed.text).not.contain('[DONE]');
   });
 
-  it('names its model, its request and its session', async () => {
+  it('carries its model, request id and session token', async () => {
     const answer = await fixtures.chat(deployment.addresses[0]!, PROMPT, {
       model: 'small@v1',
       workspace: 'south',
--- a/packages/amaranthknot/tests/at-most-once.test.ts
+++ b/packages/amaranthknot/tests/at-most-once.test.ts
@@ -2,7 +2,7 @@
 import type * as embeddedDeployment from '../src/embedded-deployment.js';
 import * as fixtures from './support/fixtures.js';
 
-describe('a booking, over three entry instances', () => {
+describe('a booking on three entry instances', () => {
   let deployment: embeddedDeployment.EmbeddedDeployment;
   beforeEach(async () => {
     deployment = await fixtures.startDeployment();
@@ -19,8 +19,9 @@
     }
   };
 
-  // A caller's library sends the same booking to three instances in the same
-  // moment, since the first seemed slow. Without a claim each would send it.
+  // A client library sends the same booking to three instances at once because
+  // the first seemed slow. Without a claim each instance would send it to the
+  // service.
   it('runs once when sent to all instances at the same moment', async () => {
     const answers = await Promise.all(
       deployment.addresses.map(address => fixtures.book(address, 'key-1')),
@@ -35,9 +36,10 @@
     chai.expect(later.text).equal(done[0]!.text);
   });
 
-  // The service takes the booking and the connection breaks before its answer.
-  // The caller sees `unknown`; its retries must never send the booking again.
-  it('says unknown after a cut, and never sends again', async () => {
+  // The service receives the booking, and the connection breaks before its
+  // answer. The caller gets `unknown`; its retries must never send the booking
+  // again.
+  it('answers unknown after a cut connection and is never sent again', async () => {
     setFault('cut_after');
     const first = await fixtures.book(deployment.addresses[0]!, 'key-2');
     chai.expect(first.status).equal(409);
@@ -49,8 +51,8 @@
     chai.expect(countRuns()).equal(1);
   });
 
-  // The service refuses the booking without running it. The claim is given up,
-  // so that a later retry under the same key runs it.
+  // The service refuses the booking without running it. The claim is released,
+  // so that a later retry with the same key runs it.
   it('runs on a retry after a refusal that says not_run', async () => {
     setFault('refuse');
     const first = await fixtures.book(deployment.addresses[0]!, 'key-3');
@@ -63,7 +65,7 @@
   });
 
   // The platform is down, so nothing can be claimed. The booking is refused as
-  // not run, with when to come back; after the outage a retry runs it, once.
+  // not run, with Retry-After; after the outage a retry runs it once.
   it('is refused in a platform outage and runs once after it', async () => {
     deployment.fakes.platform.mode = 'down';
     const refused = await Promise.all(
@@ -106,7 +108,7 @@
       code: 'idempotency_key_required',
     },
     {
-      name: 'a key that came with another body',
+      name: 'a key that was used with another body',
       headers: {'idempotency-key': 'key-6'},
       body: {seat: 2},
       status: 422,
--- a/packages/amaranthknot/tests/bad-input.test.ts
+++ b/packages/amaranthknot/tests/bad-input.test.ts
@@ -15,7 +15,7 @@
     ...extra,
   });
 
-/** Error of one answer, whose request must not have run. */
+/** Status and code of an error answer, whose request must not have run. */
 const refusalOf = (answer: fixtures.RawAnswer): string => {
   const error = rawCaller.checkError(answer.text);
   chai.assert.strictEqual(error.ran, 'not_run');
@@ -48,21 +48,21 @@
     null: 'null',
     'a list': '[]',
     'no messages': toBody({messages: undefined}),
-    'messages as text': toBody({messages: 'hello'}),
-    'no message': toBody({messages: []}),
-    'a message as text': toBody({messages: ['hello']}),
+    'messages as a string': toBody({messages: 'hello'}),
+    'an empty list of messages': toBody({messages: []}),
+    'a message as a string': toBody({messages: ['hello']}),
     'too many messages': toBody({
       messages: Array.from({length: 1_001}, () => ({
         role: 'user',
         content: '',
       })),
     }),
-    'a model as number': toBody({model: 1}),
-    'a model too long': toBody({model: 'm'.repeat(257)}),
-    'stream as text': toBody({stream: 'yes'}),
+    'a model as a number': toBody({model: 1}),
+    'a model name that is too long': toBody({model: 'm'.repeat(257)}),
+    'stream as a string': toBody({stream: 'yes'}),
     'a negative length': toBody({max_tokens: -1}),
-    'metadata as list': toBody({metadata: [1]}),
-    'bytes that are no text': '\u00ff\u00fe\u0000',
+    'metadata as a list': toBody({metadata: [1]}),
+    'bytes that are not text': '\u00ff\u00fe\u0000',
   };
   for (const [name, body] of Object.entries(BODIES)) {
     it(`refuses a body: ${name}`, async () => {
@@ -86,7 +86,7 @@
     chai.assert.strictEqual(error.code, 'invalid_request');
   });
 
-  it('refuses keys that no workspace has', async () => {
+  it('refuses keys of no workspace', async () => {
     for (const authorization of [
       '',
       'Bearer',
@@ -136,14 +136,14 @@
       ['of another workspace', () => sign({...own, ws: 'south'})],
       ['without pins', () => sign({ws: 'north', sid: 's'})],
       [
-        'that never ends',
+        'without expiry',
         () =>
           jsonwebtoken.default.sign(
             own,
             deployment.instances[0]!.resolve('options').secrets.sessionKey,
           ),
       ],
-      ['that is none', () => 'abc'],
+      ['that is not a token', () => 'abc'],
     ];
     for (const [name, createToken] of TOKENS) {
       it(`refuses one ${name}`, async () => {
@@ -153,7 +153,7 @@
       });
     }
 
-    it('takes its own, and keeps another workspace out of it', async () => {
+    it('accepts its own, and refuses it from another workspace', async () => {
       const first = await fixtures.chat(address, 'hi');
       const token = first.headers.get('x-session-token') ?? '';
       const headers = {'x-session-token': token};
@@ -167,7 +167,7 @@
     });
   });
 
-  it('refuses a flood of headers', async () => {
+  it('refuses too many or too long headers', async () => {
     for (const flood of [
       `x: ${'y'.repeat(20_000)}\r\n`,
       Array.from({length: 2_000}, (_, i) => `x${i}: yyyyy\r\n`).join(''),
@@ -182,7 +182,7 @@
     }
   });
 
-  it('refuses what is no HTTP, and paths that are none', async () => {
+  it('refuses invalid HTTP, and unknown or invalid paths', async () => {
     for (const bytes of [
       'hello\r\n\r\n',
       'GET /v1/%zz HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n',
@@ -197,9 +197,10 @@
     }
   });
 
-  // A caller that sends its head byte by byte holds a connection for ever; a
-  // thousand of them hold all that the instance may open.
-  it('closes on a caller that does not end its head', async () => {
+  // A caller that sends its request head byte by byte holds a connection open
+  // for ever; a thousand of them take all the connections that the instance may
+  // open.
+  it('closes the connection of a caller that does not complete its request head', async () => {
     const socket = rawCaller.connect(address);
     const reading = rawCaller.readToEnd(socket);
     socket.write('GET /healthz HTTP/1.1\r\nhost: a\r\n');
@@ -209,14 +210,14 @@
     chai.assert.strictEqual(error.ran, 'not_run');
   });
 
-  it('still serves afterwards', async () => {
+  it('still serves valid requests afterwards', async () => {
     const answer = await fixtures.chat(address, 'hello');
     chai.assert.strictEqual(answer.status, 200);
   });
 });
 
-describe('limits that the document sets', () => {
-  it('gives session tokens the life that the document says', async () => {
+describe('limits set in the document', () => {
+  it('apply to the lifetime of session tokens', async () => {
     const text = `${fixtures.createDocumentText()}
 [sessions]
 token_max_age_ms = 90000
@@ -239,11 +240,11 @@
   });
 });
 
-describe('callers that leave', () => {
-  // A caller waits for admission behind a stuck request and goes away. Its
-  // place in the queue must go with it, and its work never start: otherwise
-  // the burst's dead callers are served before those who still wait.
-  it('gives up the place of one that waits for admission', async () => {
+describe('callers that disconnect', () => {
+  // A caller disconnects while it waits for admission behind a stuck request.
+  // Its queue entry must be removed and its work never start; otherwise callers
+  // that are gone are served before those that still wait.
+  it('are removed from the admission queue', async () => {
     const deployment = await fixtures.startDeployment({
       limits: {maxInFlight: 1},
     });
--- a/packages/amaranthknot/tests/bills.test.ts
+++ b/packages/amaranthknot/tests/bills.test.ts
@@ -4,7 +4,7 @@
 import * as fixtures from './support/fixtures.js';
 import * as processes from './support/processes.js';
 
-describe('bills at one instance without peers', () => {
+describe('billing on an instance without peers', () => {
   let deployment: embeddedDeployment.EmbeddedDeployment;
   beforeEach(async () => {
     deployment = await fixtures.startDeployment({zones: ['zone-a']});
@@ -19,10 +19,11 @@
   const readBills = async (): Promise<ledger.BillSummary> =>
     (await ledger.readBills(deployment.fakes.platform.store)).unsafeCoerce();
 
-  // The platform refuses bills, and there is no peer to copy to. A booking has
-  // run by then: its caller hears that it ran but gets no answer. The answer
-  // must not be recorded either, or a retry elsewhere hands it out unbilled.
-  it('withhold an answer that nobody could bill', async () => {
+  // The platform refuses bills, and there is no peer to copy them to. A booking
+  // has run by then: the caller is told that it ran but gets no answer. The
+  // answer must not be recorded either, or a retry on another instance would
+  // return it unbilled.
+  it('withholds an answer whose bill cannot be stored', async () => {
     setBillsDown(true);
     const [address] = deployment.addresses;
     const first = await fixtures.book(address!, 'key-1');
@@ -44,7 +45,7 @@
     chai.expect(states).eql(['claimed']);
     setBillsDown(false);
     await processes.waitUntil(
-      'the bill is written after all',
+      'the bill is written after the outage',
       async () => (await readBills()).bills.length === 1,
     );
   });
--- a/packages/amaranthknot/tests/cold-upstream.test.ts
+++ b/packages/amaranthknot/tests/cold-upstream.test.ts
@@ -3,12 +3,15 @@
 import * as fixtures from './support/fixtures.js';
 import * as processes from './support/processes.js';
 
-/** Short times, so that an issuer need not keep quiet for long. */
+/**
+ * Short times, which shorten the period after a start in which an issuer of
+ * warm-up grants must not grant.
+ */
 const TIMING = {termMs: 1_000, drainMs: 500, viewLagMs: 3_000};
 
 const CALLERS = 24;
 
-describe('an upstream in cold start, under three instances', () => {
+describe('an upstream in cold start, used by three instances', () => {
   let deployment: embeddedDeployment.EmbeddedDeployment;
   beforeEach(async () => {
     deployment = await fixtures.startDeployment({
@@ -23,7 +26,7 @@
 
   const sleep = (ms: number) => new Promise(resolve => setTimeout(resolve, ms));
 
-  const knowCold = () =>
+  const isColdKnownEverywhere = () =>
     deployment.instances.every(instance =>
       instance
         .resolve('events')
@@ -31,7 +34,10 @@
         .some(event => event.name === 'upstream_cold'),
     );
 
-  /** Callers of all instances, as many as the warm engine bears. */
+  /**
+   * Runs callers on all instances, as many as the warm engine has capacity for;
+   * returns the number of answers.
+   */
   const runLoad = async (ms: number): Promise<number> => {
     const end = Date.now() + ms;
     let answered = 0;
@@ -50,14 +56,17 @@
     return answered;
   };
 
-  // An engine starts cold. Each of three instances would send it the little
-  // that one may; together that is three times what it bears.
-  it('never gets more than it bears in all', async () => {
+  // An engine starts cold. Guards against three instances that each send it its
+  // whole cold capacity, three times what it can take.
+  it('never gets more requests than its capacity from all instances together', async () => {
     const engine = findEngine();
     await sleep(TIMING.viewLagMs + TIMING.termMs + TIMING.drainMs + 500);
     engine.warmUp = {coldSlots: 2, warmMs: 6_000};
     engine.makeCold();
-    await processes.waitUntil('all know that it is cold', knowCold);
+    await processes.waitUntil(
+      'all instances know that the engine is cold',
+      isColdKnownEverywhere,
+    );
     engine.maxOverload = Number.NEGATIVE_INFINITY;
     const whileCold = await runLoad(4_000);
     chai.expect(engine.maxOverload).within(-64, 0);
@@ -66,18 +75,19 @@
     chai.expect(engine.maxOverload).lessThanOrEqual(0);
   });
 
-  // An engine turns cold again under full load, without warning, and refuses
-  // what it does not bear. Its next report comes up to a second later; until
-  // then all instances would go on sending, which makes it fall over.
-  it('is left alone at its first refusal when it turns cold again', async () => {
+  // An engine becomes cold again under full load, without notice, and refuses
+  // what exceeds its capacity. Its next report may take a second; until then
+  // all instances would go on sending, which would overload it.
+  it('gets no further requests after its first refusal when it becomes cold again', async () => {
     const engine = findEngine();
     engine.warmUp = {coldSlots: 1, warmMs: 60_000};
     const load = runLoad(2_500);
     await sleep(1_000);
     engine.makeCold();
     await load;
-    // Those already on their way, not one a caller and 10 ms.
+    // Only requests already sent may be refused, not one every 10 ms from each
+    // caller.
     chai.expect(engine.coldRefusals).within(1, CALLERS);
-    chai.expect(knowCold()).equal(true);
+    chai.expect(isColdKnownEverywhere()).equal(true);
   });
 });
--- a/packages/amaranthknot/tests/fuzz-callers.test.ts
+++ b/packages/amaranthknot/tests/fuzz-callers.test.ts
@@ -37,7 +37,7 @@
   '/',
 ];
 
-/** What a header may hold on the wire. */
+/** Header values that are valid on the wire. */
 const headerValue = fc
   .string({unit: fc.constantFrom(...Array.from(' !"%,;=abcABC019{}[]~\u00e9'))})
   .map(text => text.trim());
@@ -54,7 +54,7 @@
   fc.webPath().map(text => `/${text}`),
 );
 
-/** Bodies that are right but for their odd texts: they reach the engines. */
+/** Valid bodies with unusual texts: these reach the engines. */
 const chatBody = fc
   .record({
     model: fc.constantFrom('answers', 'auto', ''),
@@ -161,7 +161,7 @@
     request.end(body);
   });
 
-/** Why an answer is not one that a caller may get; undefined when it is. */
+/** Why an answer must not reach a caller; undefined if it may. */
 const findFault = (sent: Input, got: Output): string | undefined => {
   if (got.status < 400 || sent.method === 'HEAD') {
     return got.status === 500 ? 'internal' : undefined;
@@ -174,7 +174,7 @@
   }
 };
 
-/** Sends random input; says what went wrong first, undefined when nothing. */
+/** Sends random input; returns the first fault, undefined if there is none. */
 const run = async (
   address: string,
   numRuns: number,
@@ -188,7 +188,7 @@
     : undefined;
 };
 
-describe('the caller interface under random input', () => {
+describe('caller interface with random input', () => {
   let deployment: embeddedDeployment.EmbeddedDeployment;
   let address: string;
 
@@ -199,16 +199,15 @@
 
   after(() => deployment.stop());
 
-  // A request that no one thought of must not take the instance, or the
-  // requests of others on it, with it: every error is typed and its cause is
-  // the caller's.
-  it('answers each with its outcome or a typed error', async () => {
+  // Guards against an unforeseen request that ends the instance and, with it,
+  // the requests of others: every error is typed, and none is an internal one.
+  it('answers each request with its result or a typed error', async () => {
     chai.assert.isUndefined(await run(address, 600));
     const answer = await fixtures.chat(address, 'hello');
     chai.assert.strictEqual(answer.status, 200);
   });
 
-  it('is caught when a fault is planted', async () => {
+  it('reports an injected fault', async () => {
     const instance = deployment.instances[0]!;
     const logger = instance.resolve('logger');
     logger.silent = true;
@@ -216,7 +215,7 @@
     const record = events.record.bind(events);
     events.record = (name, subject) => {
       if (name === 'request_received') {
-        throw new Error('planted');
+        throw new Error('injected');
       }
       record(name, subject);
     };
--- a/packages/amaranthknot/tests/gateway/early-reload.test.ts
+++ b/packages/amaranthknot/tests/gateway/early-reload.test.ts
@@ -9,7 +9,7 @@
   new URL('../../../../tools/start-cached.cjs', import.meta.url),
 );
 
-/** A program that takes its time to load, and then says that it runs. */
+/** A program that loads slowly, then prints that it is running. */
 const SLOW_BUNDLE = `
 process.stdout.write('loading\\n');
 const end = Date.now() + 300;
@@ -17,10 +17,11 @@
 setTimeout(() => process.stdout.write('running\\n'), 100);
 `;
 
-describe('start of a gateway process', () => {
-  it('goes on when it is told of new settings while it loads', async () => {
-    // Settings change as a machine comes back: its process ends by the signal
-    // before the program is there, and callers miss an instance for longer.
+describe('start-cached.cjs', () => {
+  it('survives SIGHUP while the program is still loading', async () => {
+    // Settings can change while an instance restarts. SIGHUP that arrives
+    // before the program has a handler would end the process, and the instance
+    // would be missing for longer.
     const folder = fs.mkdtempSync(path.join(os.tmpdir(), 'early-reload-'));
     const start = path.join(folder, 'start-cached.cjs');
     fs.copyFileSync(START, start);
--- a/packages/amaranthknot/tests/gateway/fleet-change-logger.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-change-logger.test.ts
@@ -20,7 +20,7 @@
 
 const setUp = (): Setup => {
   const lines: Line[] = [];
-  const note = (event: string, details: telemetry.Details) => {
+  const record = (event: string, details: telemetry.Details) => {
     lines.push({event, details});
   };
   const role = {isWatcher: false};
@@ -34,8 +34,8 @@
       findWatchers: () => [members.self],
     } as unknown as watchRole.WatchRole,
     log: {
-      info: note,
-      warn: note,
+      info: record,
+      warn: record,
     } as unknown as telemetry.DecisionLog,
   });
   return {
@@ -53,14 +53,14 @@
 const namesOf = (lines: readonly Line[]): readonly string[] =>
   lines.map(({event}) => event);
 
-describe('what is noted of the fleet', () => {
-  it('is each peer that is heard and lost, in one line a look', () => {
-    const {members, lines, logChangesAt: lookAt} = setUp();
-    lookAt(0);
+describe('FleetChangeLogger', () => {
+  it('logs the peers found and the peers lost once, in one line per check', () => {
+    const {members, lines, logChangesAt: logAt} = setUp();
+    logAt(0);
     members.merge([fixture.createMember('a'), fixture.createMember('b')], 100);
-    lookAt(100);
-    lookAt(200);
-    lookAt(100 + fleet.SILENT_MS + 1);
+    logAt(100);
+    logAt(200);
+    logAt(100 + fleet.SILENT_MS + 1);
     chai.expect(namesOf(lines)).eql(['peer_heard', 'peer_heard', 'peer_lost']);
     chai.expect(lines[2]?.details).eql({
       peers: ['a', 'b'],
@@ -69,34 +69,35 @@
     });
   });
 
-  it('is bounded where a zone is lost', () => {
-    const {members, lines, logChangesAt: lookAt} = setUp();
+  it('limits the names in one line', () => {
+    const {members, lines, logChangesAt: logAt} = setUp();
     const many = Array.from({length: 300}, (_, i) =>
       fixture.createMember(`i-${i}`),
     );
     members.merge(many, 0);
-    lookAt(0);
+    logAt(0);
     const [line] = lines;
     chai.expect(line?.details['count']).equal(301);
     chai.expect(line?.details['peers']).length(20);
   });
 
-  it('is when the instance begins and ceases to watch the store', () => {
-    const {role, lines, logChangesAt: lookAt} = setUp();
-    lookAt(0);
+  it('logs when the instance starts and stops watching the store', () => {
+    const {role, lines, logChangesAt: logAt} = setUp();
+    logAt(0);
     role.isWatcher = true;
-    lookAt(200);
-    lookAt(400);
+    logAt(200);
+    logAt(400);
     role.isWatcher = false;
-    lookAt(600);
+    logAt(600);
     const roles = lines.filter(({event}) => event === 'watch_role_changed');
     chai
       .expect(roles.map(({details}) => details['isWatcher']))
       .eql([true, false]);
   });
 
-  it('is a message that a peer refuses, and not one that did not arrive', () => {
-    // Refused reports left no line: who was lost could be seen, but not why.
+  it('logs a message that a peer refused, but not one that did not arrive', () => {
+    // Without this line, the log shows which peers were lost, but not that
+    // their reports were refused.
     const {lines, watch} = setUp();
     const long = 'x'.repeat(1_000);
     watch.logPeerFailure('p:1', {code: 'unknown', message: 'no answer'});
--- a/packages/amaranthknot/tests/gateway/fleet-membership.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-membership.test.ts
@@ -1,20 +1,25 @@
 import * as chai from 'chai';
 import * as virtualFleet from './virtual-fleet.js';
 
-/** Time in which a fleet that started at once knows itself, in ms. */
+/** Time in which a fleet whose instances start together converges, in ms. */
 const SETTLE_MS = 6_000;
 
-/** Time for which a calm fleet is looked at, in ms, and how often. */
+/**
+ * Time for which a stable fleet is observed, and the sampling interval, in ms.
+ */
 const OBSERVATION_MS = 10_000;
 const SAMPLE_INTERVAL_MS = 100;
 
-/** Most bytes that control may send, a second and instance. */
+/** Maximum control traffic, in bytes per second and instance. */
 const CONTROL_BYTES = 4_096;
 
-/** Time by which all know that an instance is gone, in ms. */
+/** Time within which all instances must know that one is gone, in ms. */
 const LOSS_KNOWN_MS = 4_000;
 
-/** Beliefs that an instance that serves does not serve. */
+/**
+ * Counts samples in which a live instance does not list another live one as
+ * serving.
+ */
 const countFalseLosses = async (
   {clock, live}: virtualFleet.VirtualFleet,
   forMs: number,
@@ -41,7 +46,7 @@
 const countCalls = ({store}: virtualFleet.VirtualFleet): number =>
   store.calls.list + store.calls.watch;
 
-/** Instances that take `id` for one that serves. */
+/** Number of instances that list `id` as serving. */
 const countAwareInstances = (
   {clock, live}: virtualFleet.VirtualFleet,
   id: string,
@@ -52,17 +57,17 @@
       .some(member => member.id === id),
   ).length;
 
-describe('who lives in a fleet', () => {
+describe('fleet membership', () => {
   for (const instances of [7, 73, 195]) {
-    it(`is known of ${instances} on a calm day`, async () => {
-      // Live instances fell out of the directory for a moment, and callers
-      // closed their connections to them.
+    it(`has no false losses among ${instances} instances without faults`, async () => {
+      // Guards against live instances that drop out of the directory for a
+      // moment: callers then close their connections to them.
       const fleet = await startFleet(instances);
       chai.expect(await countFalseLosses(fleet, OBSERVATION_MS)).equal(0);
     });
   }
 
-  it('is known again soon after one is gone, a watcher or not', async () => {
+  it('converges soon after one instance is gone, watcher or not', async () => {
     const fleet = await startFleet(73);
     const isWatcher = ({get}: virtualFleet.VirtualInstance) =>
       get('watching').isWatcher();
@@ -76,7 +81,7 @@
     }
   });
 
-  it('is known again soon after a zone is gone', async () => {
+  it('converges soon after a zone is gone', async () => {
     const fleet = await startFleet(73);
     const lost = fleet.live().filter(({zone}) => zone === 'zone-0');
     lost.forEach(({id}) => {
@@ -89,7 +94,7 @@
     chai.expect(await countFalseLosses(fleet, 1_000)).equal(0);
   });
 
-  it('is known to an instance soon after its start', async () => {
+  it('is complete on a restarted instance soon after its start', async () => {
     const fleet = await startFleet(73);
     fleet.kill('instance-40');
     fleet.restart('instance-40');
@@ -98,8 +103,8 @@
   });
 });
 
-describe('what instances tell each other at rest', () => {
-  it('stays within the bytes for control', async () => {
+describe('control traffic without requests', () => {
+  it('stays within the limit for control traffic', async () => {
     const fleet = await startFleet(73);
     const before = fleet.sentBytes();
     await fleet.clock.advance(OBSERVATION_MS);
@@ -108,27 +113,28 @@
   });
 });
 
-describe('what a fleet asks of the store', () => {
-  it('does not grow with restarts, one after the other', async () => {
-    // Each of hundreds listed all that there is at its start, though its
-    // peers knew it: most of the calls of a day were these.
+describe('store calls of a fleet', () => {
+  it('grow little with consecutive restarts', async () => {
+    // Guards against instances that list everything from the store at each
+    // start, although their peers have it: such calls made up most of the calls
+    // of a day.
     const fleet = await startFleet(73);
     const before = countCalls(fleet);
     await fleet.clock.advance(4_000);
-    const calm = countCalls(fleet) - before;
+    const baseline = countCalls(fleet) - before;
     for (let index = 0; index < 20; index++) {
       const id = `instance-${10 + index}`;
       fleet.kill(id);
       fleet.restart(id);
       await fleet.clock.advance(200);
     }
-    const restarting = countCalls(fleet) - before - calm;
-    chai.expect(restarting).below(1.5 * calm);
+    const restarting = countCalls(fleet) - before - baseline;
+    chai.expect(restarting).below(1.5 * baseline);
   });
 
-  it('is little while the store answers nobody', async () => {
-    // Every instance found what it knew too old, and asked for all of it again
-    // and again, though its watchers did so for all.
+  it('are few while the store answers no instance', async () => {
+    // Guards against every instance listing everything again and again because
+    // its data is stale, although the watchers do so for all.
     const fleet = await startFleet(73);
     const before = countCalls(fleet);
     fleet.setStoreFault('down');
--- a/packages/amaranthknot/tests/gateway/fleet-reports.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-reports.test.ts
@@ -8,12 +8,13 @@
 import * as fixture from './gateway-fixture.js';
 import type * as gatewayComponents from '../../src/gateway/gateway-components.js';
 
-/** Time between two rounds in which all tell each other, in milliseconds. */
+/** Time between two rounds of reports, in milliseconds. */
 const ROUND_MS = 250;
 
-const ORDER = 'engines/v2';
+/** Key of the rollout in `pinnedCounts`: service and version. */
+const ROLLOUT_KEY = 'engines/v2';
 
-/** The parts of one instance that its reports are made from. */
+/** The components from which one instance makes its reports. */
 interface Instance {
   readonly members: fleet.MemberTable;
   readonly picker: decisions.UpstreamPicker;
@@ -83,7 +84,9 @@
   prefixKey: undefined,
 };
 
-/** One instance reports to a watcher and is told of the fleet. */
+/**
+ * A follower reports to a watcher and applies the summary that it gets back.
+ */
 const follow = (follower: Instance, watcher: Instance): void => {
   const report = follower.reports.createFollowerReport(watcher.members.self);
   watcher.reports.applyFollowerReport(report);
@@ -91,7 +94,7 @@
   follower.reports.applySummary(watcher.members.self, summary);
 };
 
-/** Two watchers tell each other all they know. */
+/** Two watchers exchange full reports. */
 const exchange = (a: Instance, b: Instance): void => {
   b.reports.applyReport(a.reports.createReport(b.members.self.peers));
   a.reports.applyReport(b.reports.createReport(a.members.self.peers));
@@ -100,11 +103,11 @@
 interface Fleet {
   readonly watchers: readonly [Instance, Instance];
   readonly followers: readonly [Instance, Instance];
-  /** Lets all tell each other for a while, but those that are gone. */
+  /** Runs report rounds for `ms` milliseconds; `gone` takes part in none. */
   readonly run: (ms: number, gone?: Instance) => Promise<void>;
 }
 
-/** Two watchers that follow each other too, with a follower each. */
+/** Two watchers that also follow each other, with one more follower each. */
 const createFleet = (): Fleet => {
   const clock = new fakes.VirtualClock();
   const watchers = [
@@ -117,7 +120,7 @@
   ] as const;
   const [w1, w2] = watchers;
   const [f1, f2] = followers;
-  const lines = [
+  const links = [
     [f1, w1],
     [f2, w2],
     [w1, w2],
@@ -129,8 +132,8 @@
       [...watchers, ...followers].forEach(({members}) => {
         members.beat();
       });
-      lines
-        .filter(line => !gone || !line.includes(gone))
+      links
+        .filter(link => !gone || !link.includes(gone))
         .forEach(([follower, watcher]) => {
           follow(follower, watcher);
         });
@@ -149,11 +152,11 @@
     .map(({id}) => id)
     .sort();
 
-describe('what instances tell each other', () => {
-  it('counts each request once at every instance', async () => {
-    // Both watchers lose the store for a moment and follow each other. Sums
-    // that one had from the other went back to it, and grew with each turn;
-    // engines looked twice as busy, and doubtful answers were passed on.
+describe('FleetReports', () => {
+  it('counts each request once on every instance', async () => {
+    // Two watchers that lose the store follow each other. Guards against sums
+    // that a watcher gets back as if they were of others: they grow with each
+    // round, engines look twice as busy, and uncertain answers are escalated.
     const {watchers, followers, run} = createFleet();
     const all = [...watchers, ...followers];
     all.forEach(({picker}) => picker.start('up', NO_WORK));
@@ -161,9 +164,9 @@
     chai.expect(all.map(inFlightAt)).eql([4, 4, 4, 4]);
   });
 
-  it('forgets an instance that is gone, also at its watchers', async () => {
-    // An instance loses its power. Each watcher took the other one's word that
-    // it lives, and callers were sent there for ever.
+  it('drops an instance that is gone, on its watchers too', async () => {
+    // An instance loses power. Guards against watchers that each confirm it to
+    // the other as alive, so that callers are sent to it for ever.
     const {watchers, followers, run} = createFleet();
     const [gone] = followers;
     await run(2_000);
@@ -176,7 +179,7 @@
     }
   });
 
-  it('adds up the evidence on a version over the fleet', async () => {
+  it('sums the evidence on a version over the fleet', async () => {
     const {watchers, followers, run} = createFleet();
     const work = {
       service: 'engines',
@@ -185,9 +188,9 @@
       isStream: false,
     };
     for (const {rollouts} of [...watchers, ...followers]) {
-      const sign = {...work, isError: false, firstByteMs: 10};
-      rollouts.recordAttempt({...sign, version: 'v1'});
-      rollouts.recordAttempt({...sign, version: 'v2'});
+      const observation = {...work, isError: false, firstByteMs: 10};
+      rollouts.recordAttempt({...observation, version: 'v1'});
+      rollouts.recordAttempt({...observation, version: 'v2'});
     }
     await run(2_000);
     for (const {rollouts} of watchers) {
@@ -197,20 +200,21 @@
     }
   });
 
-  it('brings a session that must not move to every instance once', async () => {
-    // A session was under way at the order. An instance that did not hear of
-    // it moved it to the new version in between.
+  it('reports a pinned session to every instance once', async () => {
+    // Sessions that are active when a rollout starts stay on the old version.
+    // Guards against an instance that does not learn of one and moves it to the
+    // new version.
     const {watchers, followers, run} = createFleet();
     const [f1, f2] = followers;
     const sessions = Array.from({length: 200}, (_, i) => `session-${i}`);
     sessions.forEach(session => {
       f1.rollouts.chooseVersion('engines', session);
     });
-    const count = f1.rollouts.pinnedCounts()[ORDER];
+    const count = f1.rollouts.pinnedCounts()[ROLLOUT_KEY];
     await run(2_000);
     chai.expect(count).above(0);
     for (const {rollouts} of [...watchers, f2]) {
-      chai.expect(rollouts.pinnedCounts()[ORDER]).equal(count);
+      chai.expect(rollouts.pinnedCounts()[ROLLOUT_KEY]).equal(count);
     }
   });
 });
--- a/packages/amaranthknot/tests/gateway/gateway-fixture.ts
+++ b/packages/amaranthknot/tests/gateway/gateway-fixture.ts
@@ -1,4 +1,4 @@
-/** Gateway instances before stand-ins of the store and of upstreams. */
+/** Starts gateway instances with a fake store and fake upstreams. */
 import * as http from 'node:http';
 import * as net from 'node:net';
 import type * as configuration from '@amaranthknot/configuration';
@@ -17,7 +17,7 @@
 /** Key of the one workspace. */
 export const KEY = 'key-of-north';
 
-/** Routes by what they allow. */
+/** Paths of the routes, by route name. */
 export const PATHS = {
   read: '/read/1',
   book: '/book/1',
@@ -28,7 +28,7 @@
 
 const SERVICE = 'svc';
 
-/** Fields of all routes that a test sets otherwise. */
+/** Fields that a test overrides on all routes. */
 type RouteOverrides = Readonly<Record<string, unknown>>;
 
 const createRoute = (
@@ -113,7 +113,7 @@
   ...overrides,
 });
 
-/** An instance's row, as its peers know it. */
+/** A member entry, as peers list it. */
 export const createMember = (id: string, zone = 'a'): protocol.Member => ({
   id,
   zone,
@@ -126,7 +126,7 @@
   cores: 1,
 });
 
-/** Views of all kinds, empty. */
+/** Empty views of all kinds. */
 export const createViews = (): gatewayState.ViewsByKind => {
   const view = (kind: gatewayState.FollowedKind) =>
     new fleet.KindView(platform.STORE_KINDS[kind]);
@@ -138,7 +138,7 @@
   };
 };
 
-/** Bounds of the users' deployments. */
+/** Bounds as in the deployments of users. */
 export const BOUNDS: configuration.GatewayBounds = {
   change: {
     configurationMs: 2_000,
@@ -207,12 +207,12 @@
     'test',
   );
 
-/** An answer as a caller gets it. */
+/** An answer as the caller receives it. */
 export interface CallerAnswer {
   readonly status: number;
   readonly headers: http.IncomingHttpHeaders;
   readonly body: string;
-  /** Whether the answer ended as a whole one does. */
+  /** Whether the answer is complete by its HTTP framing. */
   readonly isComplete: boolean;
 }
 
@@ -233,7 +233,7 @@
   readonly instances: readonly gatewayInstance.GatewayInstance[];
   readonly settings: readonly configuration.GatewaySettings[];
   readonly call: (call: CallerCall, instance?: number) => Promise<CallerAnswer>;
-  /** Puts an upstream's entry into the store. */
+  /** Creates an upstream in the store and waits until all instances know it. */
   readonly register: (
     id: string,
     upstream: fakes.ScriptedUpstream,
@@ -244,7 +244,9 @@
 
 let lastId = 0;
 
-/** Sends a request and reads the answer to its end, good or bad. */
+/**
+ * Sends a request and reads the answer until it ends or the connection fails.
+ */
 const send = (
   address: configuration.Address,
   call: CallerCall,
@@ -283,7 +285,10 @@
     request.end(body);
   });
 
-/** Starts a store with a manifest and `count` instances that know it. */
+/**
+ * Starts a store with a manifest and `count` instances; resolves when all
+ * serve.
+ */
 export const startGateway = async (count = 1): Promise<GatewayFixture> => {
   const clock = ports.systemClock;
   const storeServer = new fakes.ObjectApiServer(clock);
@@ -332,10 +337,10 @@
   };
 };
 
-/** Longest wait for a condition, in milliseconds; a failing test ends then. */
+/** Time after which a wait for a condition fails, in milliseconds. */
 const CONDITION_TIMEOUT_MS = 10_000;
 
-/** Waits for a condition that will come true. */
+/** Polls until `isTrue` holds; throws after `CONDITION_TIMEOUT_MS`. */
 export const waitUntil = async (
   isTrue: () => boolean,
   what = 'a condition',
@@ -343,7 +348,7 @@
   const end = ports.systemClock.now() + CONDITION_TIMEOUT_MS;
   while (!isTrue()) {
     if (ports.systemClock.now() > end) {
-      throw new Error(`waited in vain for ${what}`);
+      throw new Error(`timed out waiting for ${what}`);
     }
     await ports.systemClock.sleep(5);
   }
--- a/packages/amaranthknot/tests/gateway/gateway-state.test.ts
+++ b/packages/amaranthknot/tests/gateway/gateway-state.test.ts
@@ -12,11 +12,11 @@
   readonly catalog: gateway.UpstreamCatalog;
   readonly view: fleet.KindView;
   readonly now: () => number;
-  /** Moves time on, in milliseconds. */
+  /** Advances the time, in milliseconds. */
   readonly wait: (ms: number) => void;
 }
 
-/** An instance that knows one upstream, `i-1`. */
+/** State of an instance that knows one upstream, `i-1`. */
 const createState = (): Setup => {
   let nowMs = 100_000;
   const now = () => nowMs;
@@ -65,24 +65,24 @@
 
 const FAILURE: ports.StoreError = {code: 'unknown', message: 'reset'};
 
-/** The entry is gone in what is known as of now. */
+/** Applies a listing, as of now, without the entry. */
 const removeEntry = ({state, view, now}: Setup): void => {
   view.replaceAll({objects: [], version: 2}, now());
   state.applyView(view);
 };
 
-/** Nothing changed as of now. */
+/** Applies an answer, as of now, that nothing changed. */
 const confirm = ({state, view, now}: Setup): void => {
   view.applyChanges({version: 1, events: []}, now());
   state.applyView(view);
 };
 
-describe('upstreams whose entry went, and the store', () => {
-  it('are left at once although the watcher had been cut off alone', () => {
-    // A swap runs at an upstream 10 ms after it had to be left: the instance
-    // had been told by a watcher that lost the store, took its word for an
-    // outage, and kept the upstream for the grace time after another one had
-    // told of its leaving.
+describe('GatewayState: upstreams whose store entry is gone', () => {
+  it('are dropped at once if only the watcher had lost the store', () => {
+    // Guards against a request that runs on an upstream 10 ms after it had to
+    // be drained: the watcher of the instance loses the store, the instance
+    // takes that for an outage of the store, and keeps the upstream for the
+    // grace time although another watcher has reported that it is leaving.
     const setup = createState();
     setup.state.recordStoreCall(FAILURE);
     setup.wait(1_300);
@@ -94,8 +94,8 @@
   });
 
   it('are kept for a while after an outage', () => {
-    // Entries of upstreams that live lapse while the store is away, and all
-    // of them would be dropped at its return.
+    // Entries of live upstreams expire while the store is down; all of them
+    // would be dropped when it is back.
     const setup = createState();
     setup.wait(fleet.MAX_ANSWER_GAP_MS + 100);
     removeEntry(setup);
--- a/packages/amaranthknot/tests/gateway/leaving-upstreams.test.ts
+++ b/packages/amaranthknot/tests/gateway/leaving-upstreams.test.ts
@@ -3,22 +3,24 @@
 import * as fixture from './gateway-fixture.js';
 import * as virtualFleet from './virtual-fleet.js';
 
-/** Time in which a fleet that started at once knows itself, in ms. */
+/** Time in which a fleet whose instances start together converges, in ms. */
 const SETTLE_MS = 6_000;
 
-/** How often instances are looked at, in ms. */
+/** Interval at which instances are checked, in ms. */
 const SAMPLE_INTERVAL_MS = 20;
 
-/** Moments of a loss: what watchers know is older or younger at each. */
-const LOST_AFTER_MS = [0, 150, 300, 600, 900, 1_200];
+/**
+ * Delays before watchers fail, in ms: the age of their data differs at each.
+ */
+const WATCHER_LOSS_DELAYS_MS = [0, 150, 300, 600, 900, 1_200];
 
-/** Time for which an instance, or all, can't reach the store, in ms. */
-const CUT_MS = 4_000;
+/** Time for which one instance, or all, cannot reach the store, in ms. */
+const STORE_LOSS_MS = 4_000;
 
-/** Time in which an instance that is back is told what it missed, in ms. */
-const TOLD_AGAIN_MS = 1_500;
+/** Time within which a reconnected instance must have caught up, in ms. */
+const MAX_CATCH_UP_MS = 1_500;
 
-/** Upstreams that are registered, and those of them that leave. */
+/** Number of registered upstreams, and how many of them leave. */
 const UPSTREAMS = 12;
 const LEAVING = 6;
 
@@ -26,7 +28,7 @@
 
 const nameOf = (index: number): string => `upstream-${index}`;
 
-/** Bounds of a deployment that allows so long for a change. */
+/** Bounds that allow `changeMs` for a change. */
 const createBounds = (changeMs: number): typeof fixture.BOUNDS => ({
   ...fixture.BOUNDS,
   change: {
@@ -57,7 +59,10 @@
   return fleet;
 };
 
-/** Removes the entries of some upstreams, as of those that leave unsaid. */
+/**
+ * Removes the entries of the first `count` upstreams, which leave without
+ * notice.
+ */
 const removeEntries = async (
   {store, clock}: virtualFleet.VirtualFleet,
   count: number,
@@ -71,7 +76,10 @@
   await Promise.all(removed);
 };
 
-/** Time until no instance would use upstreams that left, in milliseconds. */
+/**
+ * Measures the time until no instance lists a removed upstream as ready, in ms;
+ * stops at `limitMs`.
+ */
 const measureUse = async (
   {clock, live}: virtualFleet.VirtualFleet,
   limitMs: number,
@@ -94,8 +102,8 @@
 };
 
 /**
- * Time for which upstreams that left are used where watchers are lost, so long
- * after the fleet has settled, in milliseconds.
+ * Measures, in ms, how long removed upstreams stay in use when all watchers
+ * lose power `afterMs` after the fleet has settled.
  */
 const measureWithoutWatchers = async (
   leavingMs: number,
@@ -112,12 +120,13 @@
   return measureUse(fleet, 3 * leavingMs);
 };
 
-describe('upstreams that leave while instances lose their watchers', () => {
+describe('removal of upstreams while the watchers fail', () => {
   for (const leavingMs of [2_000, 3_000, 4_000]) {
-    it(`are left within ${leavingMs} ms by all others`, async () => {
-      // Requests reached engines seconds after they had left.
+    it(`reaches all other instances within ${leavingMs} ms`, async () => {
+      // Guards against requests that reach engines seconds after these have
+      // left.
       const usedMs: number[] = [];
-      for (const afterMs of LOST_AFTER_MS) {
+      for (const afterMs of WATCHER_LOSS_DELAYS_MS) {
         usedMs.push(await measureWithoutWatchers(leavingMs, afterMs));
       }
       chai.expect(Math.max(...usedMs)).below(leavingMs);
@@ -125,27 +134,28 @@
   }
 });
 
-describe('upstreams that leave while one instance is cut off', () => {
-  it('are left by it soon after it is told again', async () => {
-    // It took its own silence for an outage of the store, and went on sending
-    // requests to engines that it had been told were gone.
+describe('removal of upstreams during a loss of the store', () => {
+  it('reaches an isolated instance soon after it reconnects', async () => {
+    // Guards against an instance that takes its own isolation for an outage of
+    // the store, and goes on sending requests to engines that were reported as
+    // gone.
     const fleet = await startFleet(3_000);
     const isFollower = ({get}: virtualFleet.VirtualInstance) =>
       !get('watching').isWatcher();
     const alone = fleet.live().find(isFollower);
     fleet.isolate(alone?.id ?? '');
     await removeEntries(fleet, LEAVING);
-    await fleet.clock.advance(CUT_MS);
+    await fleet.clock.advance(STORE_LOSS_MS);
     fleet.heal();
-    chai.expect(await measureUse(fleet, 5_000)).below(TOLD_AGAIN_MS);
+    chai.expect(await measureUse(fleet, 5_000)).below(MAX_CATCH_UP_MS);
   });
 
-  it('are kept for a while where the store answered nobody', async () => {
-    // Guards against a start from nothing after an outage, in which entries of
-    // upstreams that live lapse.
+  it('is deferred after an outage of the store for all', async () => {
+    // Entries of live upstreams expire during an outage. Guards against an
+    // instance that drops them all and has none afterwards.
     const fleet = await startFleet(3_000);
     fleet.setStoreFault('down');
-    await fleet.clock.advance(CUT_MS);
+    await fleet.clock.advance(STORE_LOSS_MS);
     fleet.setStoreFault('none');
     await removeEntries(fleet, LEAVING);
     const usedMs = await measureUse(fleet, 5_000);
--- a/packages/amaranthknot/tests/gateway/placement-fixture.ts
+++ b/packages/amaranthknot/tests/gateway/placement-fixture.ts
@@ -1,10 +1,13 @@
-/** Requests to place, as instances of a virtual fleet would. */
+/** Creates placement requests for instances of a virtual fleet. */
 import type * as gateway from '@amaranthknot/gateway';
 import type * as routing from '@amaranthknot/routing';
 import * as fixture from './gateway-fixture.js';
 import type * as virtualFleet from './virtual-fleet.js';
 
-/** A request for the route `read` that an instance has to place. */
+/**
+ * A placement request for the route `read`; throws if the instance has no
+ * table.
+ */
 export const createPlacementRequest = (
   {get}: virtualFleet.VirtualInstance,
   id: string,
@@ -14,7 +17,9 @@
   const route = table?.routes.find(({name}) => name === 'read');
   const service = table?.services.get('svc');
   if (!route || !service) {
-    throw new Error('an instance knows no route');
+    throw new Error(
+      'instance has no active table with route read and service svc',
+    );
   }
   const now = get('options').clock.now();
   return {
--- a/packages/amaranthknot/tests/gateway/plain-requests.test.ts
+++ b/packages/amaranthknot/tests/gateway/plain-requests.test.ts
@@ -3,7 +3,7 @@
 import * as fakes from '@amaranthknot/fakes';
 import * as fixture from './gateway-fixture.js';
 
-/** Answers every request at once with its target. */
+/** Answers every request at once; the body names its target. */
 const answerAll: fakes.UpstreamScript = ({request, socket}) => {
   socket.write(fakes.formatAnswer(request, `answer to ${request.target}`));
 };
@@ -27,7 +27,7 @@
     await second.stop();
   });
 
-  it('passes method, target, body, headers and the answer through', async () => {
+  it('forwards method, target, body, headers and the answer', async () => {
     await gateway.register('i-1', first);
     const answer = await gateway.call({
       path: '/book/a%20b?x=1&y=%2F',
@@ -53,10 +53,10 @@
     chai.expect(left).within(1, 3_000);
   });
 
-  it('never hands a late second answer to the next caller', async () => {
-    // A caller sees another caller's booking. The upstream answers the first
-    // request twice; the second copy arrives while the kept connection carries
-    // the next request, where that one's answer is expected.
+  it('never returns a late second answer to the next caller', async () => {
+    // Guards against a caller that gets the answer of another. The upstream
+    // answers a request twice; the second copy arrives while the kept
+    // connection carries the next request.
     await gateway.register('i-1', first);
     first.script = ({request, socket, numberOnConnection}) => {
       if (numberOnConnection === 2) {
@@ -75,9 +75,9 @@
     agent.destroy();
   });
 
-  it('drops a kept connection on which bytes arrive unasked', async () => {
-    // The next caller gets garbage. The upstream sends a second answer right
-    // after the first; it lies in the idle connection when that is used again.
+  it('closes an idle connection on which unsolicited bytes arrive', async () => {
+    // The upstream sends a second answer right after the first. Guards against
+    // reusing the idle connection, where the next caller would get these bytes.
     await gateway.register('i-1', first);
     first.script = ({request, socket}) => {
       socket.write(fakes.formatAnswer(request, 'own'));
@@ -92,10 +92,10 @@
   });
 
   ['with its last bytes', 'later'].forEach(when => {
-    it(`does not take an answer that is reset ${when} for whole`, async () => {
-      // A caller takes half a booking list for all of it. An answer without a
-      // length ends with its connection, and a crash ends that as well: only a
-      // reset tells them apart, which a reader of both at once does not see.
+    it(`does not treat an answer that is reset ${when} as complete`, async () => {
+      // An answer without a length ends when its connection closes, and so does
+      // one cut by a crash; only a reset tells them apart. A reader that
+      // handles both events alike would pass half an answer on as complete.
       await gateway.register('i-1', first);
       first.script = ({request, socket}) => {
         socket.write(fakes.formatUnframedHead(request) + 'half of');
@@ -114,7 +114,7 @@
     });
   });
 
-  it('passes an answer without a length on when it was closed', async () => {
+  it('forwards an answer without a length when its connection was closed', async () => {
     await gateway.register('i-1', first);
     first.script = ({request, socket}) => {
       socket.end(fakes.formatUnframedHead(request) + 'all of it');
@@ -152,7 +152,7 @@
       },
     },
     {
-      name: 'an answer that is cut',
+      name: 'a truncated answer',
       script: ({request, socket}) => {
         const whole = fakes.formatAnswer(request, 'a long body');
         socket.end(whole.slice(0, -4));
@@ -161,10 +161,10 @@
   ];
 
   unknownOutcomes.forEach(({name, script}) => {
-    it(`runs a booking once and promises nothing after ${name}`, async () => {
-      // A seat is booked twice, or a caller is told that it was not booked
-      // though it was. The request was sent, then the connection failed: it
-      // may have run, so it is neither sent again nor answered `not run`.
+    it(`sends a booking once and reports no outcome after ${name}`, async () => {
+      // The connection fails after the request was sent, so it may have run.
+      // Guards against sending it again, which could book a seat twice, and
+      // against answering `not run` although it ran.
       await gateway.register('i-1', first);
       await gateway.register('i-2', second);
       first.script = script;
@@ -177,7 +177,7 @@
       chai.expect(first.requests.length + second.requests.length).equal(1);
     });
 
-    it(`asks another upstream for a list after ${name}`, async () => {
+    it(`retries an idempotent request on another upstream after ${name}`, async () => {
       await gateway.register('i-1', first);
       await gateway.register('i-2', second);
       let failed = false;
@@ -192,7 +192,7 @@
     });
   });
 
-  it('sends a booking on after an upstream that did not run it', async () => {
+  it('sends a booking to another upstream after one that did not run it', async () => {
     await gateway.register('i-1', first);
     await gateway.register('i-2', second);
     const refuse: fakes.UpstreamScript = ({request, socket, number}) => {
@@ -213,7 +213,7 @@
     chai.expect(first.requests.length + second.requests.length).equal(2);
   });
 
-  it('says not run, and when to come back, if no upstream ran it', async () => {
+  it('answers not run with Retry-After if no upstream ran it', async () => {
     await gateway.register('i-1', first);
     first.script = ({request, socket}) => {
       socket.write(fakes.formatNotRun(request));
@@ -226,9 +226,9 @@
     chai.expect(Number(answer.headers['retry-after'])).greaterThan(0);
   });
 
-  it('asks a second upstream when the first one hangs', async () => {
-    // A door check hangs although the upstream's health is good: it accepts
-    // the request and never answers.
+  it('tries a second upstream when the first one hangs', async () => {
+    // The upstream is healthy by its health check and accepts the request, but
+    // never answers.
     await gateway.register('i-1', first);
     await gateway.register('i-2', second);
     let hung = false;
@@ -244,9 +244,10 @@
     chai.expect(answer.status).equal(200);
   });
 
-  it('does not use a connection again whose request was cut short', async () => {
-    // The next caller's request arrives inside the rest of this one's body. An
-    // upstream may refuse a long body before it has read it and read on later.
+  it('does not reuse a connection whose request body was cut short', async () => {
+    // An upstream may refuse a long body before it has read all of it, and read
+    // on later. On a reused connection it would read the next request as the
+    // rest of that body.
     await gateway.register('i-1', first);
     const body = 'x'.repeat(900_000);
     first.script = () => undefined;
--- a/packages/amaranthknot/tests/gateway/planned-stop.test.ts
+++ b/packages/amaranthknot/tests/gateway/planned-stop.test.ts
@@ -28,10 +28,11 @@
       headers: {'X-Remaining-Milliseconds': String(timeLeftMs)},
     });
 
-  it('refuses in its last moments what it could cut, and takes the rest', async () => {
-    // A shift controller's swap gets neither an answer nor a refusal: it came
-    // 0.4 s before the end of the instance's grace time, was sent on, and was
-    // cut with the process though another instance could have taken it.
+  it('refuses requests that may outlast the grace time, and takes shorter ones', async () => {
+    // A booking arrives 0.4 s before the end of the grace time. Guards against
+    // sending it on: it would be cut with the process, and its caller would get
+    // neither an answer nor a refusal although another instance could have
+    // taken it.
     const endless: fakes.UpstreamScript = ({request, socket}) => {
       const text = fakes.formatChunk(fakes.formatEvent(1));
       socket.write(fakes.formatStreamHead(request) + text);
--- a/packages/amaranthknot/tests/gateway/startup-imports.test.ts
+++ b/packages/amaranthknot/tests/gateway/startup-imports.test.ts
@@ -9,7 +9,7 @@
 );
 const ENTRY = 'packages/amaranthknot/src/gateway-main.ts';
 
-/** Packages that are loaded before an instance takes callers. */
+/** Names of the packages that are loaded before an instance accepts callers. */
 const findLoadedAtStart = async (): Promise<ReadonlySet<string>> => {
   const {metafile} = await esbuild.build({
     absWorkingDir: ROOT,
@@ -36,13 +36,13 @@
   return new Set(named);
 };
 
-describe('start of an instance', () => {
-  it('loads nothing that callers do not need', async () => {
-    // All instances lose their power and start again together. Callers repeat
-    // once, at addresses that refuse them for as long as processes load their
-    // program. With the framework of the other servers and the reader of
-    // options in the way, an instance took callers 434 ms after its process
-    // began on 0.675 of a core; without them, 156 ms.
+describe('imports of the gateway entry point', () => {
+  it('include nothing that is not needed to serve callers', async () => {
+    // After a power loss all instances start together, and callers retry only
+    // once, at addresses that refuse them until the program is loaded. On 0.675
+    // of a core an instance accepted callers 434 ms after its process started
+    // with the framework of the auxiliary servers and the option parser loaded
+    // first, and after 156 ms without them.
     const loaded = await findLoadedAtStart();
     chai.expect(loaded).include('zod');
     chai.expect([...loaded]).not.include('@hapi/hapi');
--- a/packages/amaranthknot/tests/gateway/streams.test.ts
+++ b/packages/amaranthknot/tests/gateway/streams.test.ts
@@ -5,10 +5,10 @@
 
 const LENGTH = 5;
 
-/** Longer than the longest pause of the fixture's routes, in milliseconds. */
+/** Longer than the gap target of the routes in the fixture, in milliseconds. */
 const LONG_PAUSE_MS = 800;
 
-/** Events from the one after `Last-Event-Id` to the last, and the end. */
+/** Events after `Last-Event-Id`, and the end of the stream. */
 const restOfStream = (request: fakes.ParsedRequest): string => {
   const from = Number(request.headers['last-event-id'] ?? 0) + 1;
   let text = '';
@@ -30,7 +30,10 @@
   return text;
 };
 
-/** Plays `broken` for the first request at any upstream, whole ones after. */
+/**
+ * Runs `broken` for the first request on any upstream, `wholeStream`
+ * afterwards.
+ */
 const breakFirst = (broken: fakes.UpstreamScript): fakes.UpstreamScript => {
   let isFirst = true;
   return exchange => {
@@ -66,7 +69,7 @@
     ...second.requests,
   ];
 
-  it('passes a whole stream on', async () => {
+  it('forwards a whole stream', async () => {
     const answer = await gateway.call({
       path: fixture.PATHS.stream,
       method: 'POST',
@@ -110,7 +113,7 @@
       },
     },
     {
-      name: 'an event that is missing',
+      name: 'a missing event',
       script: ({request, socket}) => {
         const events = fakes.formatEvent(1) + fakes.formatEvent(3);
         socket.write(
@@ -121,7 +124,7 @@
       },
     },
     {
-      name: 'an event that comes twice',
+      name: 'a duplicate event',
       script: ({request, socket}) => {
         const events = fakes.formatEvent(1) + fakes.formatEvent(1);
         socket.write(
@@ -132,7 +135,7 @@
       },
     },
     {
-      name: 'a silence longer than the longest pause',
+      name: 'a stall longer than the gap target',
       script: ({request, socket}) => {
         const text = fakes.formatChunk(fakes.formatEvent(1));
         socket.write(fakes.formatStreamHead(request) + text);
@@ -147,8 +150,8 @@
   ];
 
   breaks.forEach(({name, script}) => {
-    it(`goes on at another upstream after ${name}`, async () => {
-      // A welcome pack arrives cut short, or with a piece missing or doubled.
+    it(`resumes on another upstream after ${name}`, async () => {
+      // Guards against a stream that ends early, or lacks or repeats a part.
       const shared = breakFirst(script);
       first.script = shared;
       second.script = shared;
@@ -164,8 +167,9 @@
     });
   });
 
-  it('goes on at another upstream after a silence before the first event', async () => {
-    // A caller waits out its whole time at an upstream that hangs.
+  it('resumes on another upstream after a stall before the first event', async () => {
+    // Guards against a caller that spends all its time on an upstream that
+    // hangs.
     const shared = breakFirst(() => undefined);
     first.script = shared;
     second.script = shared;
@@ -178,10 +182,10 @@
     chai.expect(all()).length(2);
   });
 
-  it('stays at a silent upstream while no other takes the request', async () => {
-    // A summary breaks off in its middle: its engine read a long prompt of
-    // another request and was silent for longer than the longest pause, the
-    // stream was given up, and no other upstream was there to go on with it.
+  it('stays on a stalled upstream if no other takes the request', async () => {
+    // An engine stalls for longer than the gap target while it prefills the
+    // long prompt of another request. Guards against giving the stream up when
+    // no other upstream can continue it: the answer would be cut in the middle.
     const pausing: fakes.UpstreamScript = ({request, socket}) => {
       const begin = fakes.formatChunk(fakes.formatEvent(1));
       socket.write(fakes.formatStreamHead(request) + begin);
@@ -195,7 +199,7 @@
     await gateway.store.delete('servers', 'i-2', await versionOf('i-2'));
     await fixture.waitUntil(
       () => !gateway.instances[0]?.knowsUpstream('i-2'),
-      'the other upstream to be gone',
+      'the removal of the other upstream',
     );
     const answer = await gateway.call({
       path: fixture.PATHS.stream,
@@ -212,9 +216,9 @@
     return found.unsafeCoerce().version;
   };
 
-  it('breaks off a stream that may not be resumed', async () => {
-    // A stream of which a part is missing must not look complete: the caller's
-    // connection is closed without the mark of its end.
+  it('aborts a broken stream that may not be resumed', async () => {
+    // A truncated stream must not look complete: the connection to the caller
+    // is closed without the last chunk.
     const cut: fakes.UpstreamScript = ({request, socket}) => {
       const text = fakes.formatChunk(fakes.formatEvent(1));
       socket.write(fakes.formatStreamHead(request) + text);
@@ -231,8 +235,9 @@
     chai.expect(all()).length(1);
   });
 
-  it('leaves the upstream when the caller leaves', async () => {
-    // Upstreams work for callers that are gone, and queues grow.
+  it('closes the upstream connection when the caller disconnects', async () => {
+    // Guards against upstreams that work for callers that are gone, so that
+    // queues grow.
     let closed = 0;
     const endless: fakes.UpstreamScript = ({request, socket}) => {
       socket.once('close', () => {
@@ -258,7 +263,10 @@
       response.once('data', () => request.destroy());
     });
     request.end('prompt');
-    await fixture.waitUntil(() => closed === 1, 'the upstream to be left');
+    await fixture.waitUntil(
+      () => closed === 1,
+      'the upstream connection to close',
+    );
   });
 
   const GENERATION = {
@@ -267,7 +275,7 @@
     'X-Prompt-Prefix': 'a:600,b:400',
   };
 
-  /** Answers with the confidence that each model has in its answer. */
+  /** Answers with the confidence given for the requested model. */
   const withConfidence =
     (confidence: Readonly<Record<string, string>>): fakes.UpstreamScript =>
     ({request, socket}) => {
@@ -278,7 +286,7 @@
       socket.write(head + restOfStream(request));
     };
 
-  it('takes the cheap model where it is sure', async () => {
+  it('uses the cheap model when its confidence is high', async () => {
     const script = withConfidence({small: '95', large: '100'});
     first.script = script;
     second.script = script;
@@ -293,12 +301,12 @@
     chai.expect(all()).length(1);
   });
 
-  it('takes the capable model where the cheap one is unsure', async () => {
+  it('escalates to the capable model when confidence is low', async () => {
     const models: (string | undefined)[] = [];
-    const answerUnsurely = withConfidence({small: '10', large: '100'});
+    const answerWithLowConfidence = withConfidence({small: '10', large: '100'});
     const script: fakes.UpstreamScript = exchange => {
       models.push(exchange.request.headers['x-model']);
-      answerUnsurely(exchange);
+      answerWithLowConfidence(exchange);
     };
     first.script = script;
     second.script = script;
@@ -314,8 +322,8 @@
     chai.expect(all()).length(2);
   });
 
-  it('keeps a weak answer where no upstream takes the capable model', async () => {
-    // The caller got a failure, though an answer had been made for it.
+  it('returns the low-confidence answer when no upstream takes the capable model', async () => {
+    // Guards against an error for the caller although an answer was generated.
     const {store, instances} = gateway;
     const entry = (await store.get('servers', 'i-2')).unsafeCoerce();
     await store.delete('servers', 'i-2', entry.version);
@@ -338,14 +346,17 @@
     chai.expect(all()).length(1);
   });
 
-  it('tells engines the rank of a prompt, and no caller does', async () => {
-    // A caller that puts itself first would push all others back; engines are
-    // told only what instances work out from the prompt's length.
-    const ranks: (string | undefined)[] = [];
-    const answerSurely = withConfidence({small: '95', large: '100'});
+  it('sets the priority of a prompt itself and ignores the one a caller sends', async () => {
+    // A caller that sets its own priority would delay all others. Engines get
+    // only the priority that instances derive from the prompt length.
+    const priorities: (string | undefined)[] = [];
+    const answerWithHighConfidence = withConfidence({
+      small: '95',
+      large: '100',
+    });
     const script: fakes.UpstreamScript = exchange => {
-      ranks.push(exchange.request.headers['x-request-priority']);
-      answerSurely(exchange);
+      priorities.push(exchange.request.headers['x-request-priority']);
+      answerWithHighConfidence(exchange);
     };
     first.script = script;
     second.script = script;
@@ -362,6 +373,6 @@
       });
     await ask('700,500');
     await ask('9200,500');
-    chai.expect(ranks).eql(['1', '5']);
+    chai.expect(priorities).eql(['1', '5']);
   });
 });
--- a/packages/amaranthknot/tests/gateway/upstream-changes.test.ts
+++ b/packages/amaranthknot/tests/gateway/upstream-changes.test.ts
@@ -24,8 +24,8 @@
   },
 });
 
-describe('the line on changed upstreams', () => {
-  it('names them by what became of them, with the age of what is known', () => {
+describe('describeChanges', () => {
+  it('groups upstreams by kind of change, and adds the age of the data', () => {
     const changes = [
       createChange('leaving', 'a'),
       createChange('gone', 'b'),
@@ -44,7 +44,7 @@
       });
   });
 
-  it('is bounded where thousands come at once', () => {
+  it('limits the names when thousands are added at once', () => {
     const changes = Array.from({length: 12_000}, (_, index) =>
       createChange('added', `i-${index}`),
     );
--- a/packages/amaranthknot/tests/gateway/upstream-rate-limits.test.ts
+++ b/packages/amaranthknot/tests/gateway/upstream-rate-limits.test.ts
@@ -6,39 +6,46 @@
 import * as placementFixture from './placement-fixture.js';
 import * as virtualFleet from './virtual-fleet.js';
 
-/** Time in which a fleet that started at once knows itself, in ms. */
+/** Time in which a fleet whose instances start together converges, in ms. */
 const SETTLE_MS = 6_000;
 
-/** Time after the first naming from which a limit must be kept, in ms. */
+/**
+ * Time after the limit is first announced from which it must be kept, in ms.
+ */
 const STABILITY_MS = 3_000;
 
-/** Time for which the load goes on after that, in milliseconds. */
+/** Duration of the load after that, in milliseconds. */
 const LOAD_MS = 12_000;
 
-/** Step of the load, and time until an upstream answers, in milliseconds. */
+/**
+ * Step of the load, and time that an upstream takes to answer, in milliseconds.
+ */
 const STEP_MS = 10;
 const ANSWER_MS = 50;
 
-/** Time by which all instances know that a limit is lifted, in ms. */
+/** Time within which all instances must know that a limit is lifted, in ms. */
 const LIFTED_KNOWN_MS = 6_000;
 
-/** Window of the rule, in seconds, and what it lets pass in one. */
+/**
+ * Window over which arrivals are counted, in seconds, and the most arrivals
+ * that are allowed in one.
+ */
 const WINDOW_S = 4;
-const findAllowed = (perSecond: number): number =>
+const findAllowedArrivals = (perSecond: number): number =>
   1.5 * WINDOW_S * perSecond + 5;
 
 const LIMITED = 'limited';
 const UPSTREAMS = [LIMITED, 'free-1', 'free-2', 'free-3'];
 
-/** A fleet, and what an upstream of it says of its limit. */
+/** A fleet with one upstream that announces a rate limit. */
 interface LimitedFleet extends virtualFleet.VirtualFleet {
-  /** Requests a second that the upstream names; undefined: none. */
+  /** Requests per second that the upstream announces; undefined: no limit. */
   limit: number | undefined;
-  /** When requests arrived at the limited upstream, in milliseconds. */
+  /** Arrival times at the limited upstream, in milliseconds. */
   readonly arrivals: number[];
-  /** Requests that no upstream took. */
+  /** Number of requests that could not be placed. */
   readonly unplaced: () => number;
-  /** Sends so many requests a second, each to any instance. */
+  /** Sends requests at a rate for `forMs`, each to a random instance. */
   readonly load: (perSecond: number, forMs: number) => Promise<void>;
 }
 
@@ -109,8 +116,8 @@
   return limited;
 };
 
-/** Most arrivals in any window of the rule, from a moment on. */
-const findMost = (arrivals: readonly number[], fromMs: number): number =>
+/** Maximum arrivals in any window after `fromMs`. */
+const findMaxArrivals = (arrivals: readonly number[], fromMs: number): number =>
   Math.max(
     0,
     ...arrivals.map(
@@ -122,7 +129,7 @@
     ),
   );
 
-describe('an upstream that names a limit', () => {
+describe('an upstream that announces a rate limit', () => {
   const cases: readonly {
     readonly instances: number;
     readonly limit: number;
@@ -135,19 +142,21 @@
   ];
 
   cases.forEach(({instances, limit, perSecond}) => {
-    it(`gets no more than ${limit} a second from ${instances} instances`, async () => {
-      // Requests went on to an engine in need as if it had said nothing.
+    it(`gets no more than ${limit} requests per second from ${instances} instances`, async () => {
+      // Guards against instances that ignore the limit of an overloaded engine.
       const fleet = await startFleet(instances);
       fleet.limit = limit;
       await fleet.load(perSecond, STABILITY_MS);
       const fromMs = fleet.clock.now();
       await fleet.load(perSecond, LOAD_MS);
-      chai.expect(findMost(fleet.arrivals, fromMs)).most(findAllowed(limit));
+      chai
+        .expect(findMaxArrivals(fleet.arrivals, fromMs))
+        .most(findAllowedArrivals(limit));
       chai.expect(fleet.unplaced()).equal(0);
     });
   });
 
-  it('is used as far as it takes requests', async () => {
+  it('is used up to its limit', async () => {
     const fleet = await startFleet(6);
     fleet.limit = 15;
     await fleet.load(200, STABILITY_MS);
@@ -157,8 +166,9 @@
     chai.expect(perSecond).within(0.7 * 15, 15);
   });
 
-  it('gets its part again soon after the limit is lifted', async () => {
-    // An instance whose share is nothing hears of it from those that ask.
+  it('gets its share of the load soon after the limit is lifted', async () => {
+    // An instance whose share is zero sends it nothing, and learns only from
+    // the instances that still do.
     const fleet = await startFleet(24);
     fleet.limit = 1.1;
     await fleet.load(100, 6_000);
--- a/packages/amaranthknot/tests/gateway/virtual-fleet.ts
+++ b/packages/amaranthknot/tests/gateway/virtual-fleet.ts
@@ -1,4 +1,4 @@
-/** A virtual fleet with the bounds and configuration of these tests. */
+/** Starts virtual fleets with the bounds and the manifest of these tests. */
 import type * as configuration from '@amaranthknot/configuration';
 import * as experiment from '@amaranthknot/experiment';
 import * as fixture from './gateway-fixture.js';
@@ -6,7 +6,7 @@
 export type VirtualFleet = experiment.VirtualFleet;
 export type VirtualInstance = experiment.VirtualInstance;
 
-/** What a test's fleet looks like. */
+/** Size of a fleet, and its bounds if they differ from those of the fixture. */
 export interface TestFleetOptions {
   readonly instances: number;
   readonly zones: number;
--- a/packages/amaranthknot/tests/gateway/watch-role.test.ts
+++ b/packages/amaranthknot/tests/gateway/watch-role.test.ts
@@ -17,7 +17,7 @@
   readonly watchers: () => readonly string[];
 }
 
-/** Instance `a` of five, settled. */
+/** State of instance `a` in a fleet of five, after the settling time. */
 const setUp = (bounds = fixture.BOUNDS): Setup => {
   let nowMs = 0;
   const members = new fleet.MemberTable(fixture.createMember('a', 'a'));
@@ -45,11 +45,11 @@
   };
 };
 
-describe('roles in watching the store', () => {
-  it('pass on from a watcher that has lost the store', () => {
-    // The store turns some instances away, the watchers among them. The others
-    // relied on them still, found what they told too old, and asked the store
-    // one by one.
+describe('WatchRole', () => {
+  it('passes the role on from a watcher that has lost the store', () => {
+    // The store refuses some instances, the watchers among them. Guards against
+    // the others still relying on these: their data becomes stale, and they ask
+    // the store one by one.
     const {members, wait, watchers} = setUp();
     const [lost = ''] = watchers().filter(id => id !== 'a');
     members.merge(
@@ -61,7 +61,7 @@
     chai.expect(watchers()).length(2);
   });
 
-  it('stay as they are where all have lost it', () => {
+  it('keeps the roles when all instances have lost the store', () => {
     const {members, wait, watchers} = setUp();
     const before = watchers();
     members.setStore('lost');
@@ -77,7 +77,7 @@
     chai.expect(watchers()).eql(before);
   });
 
-  it('change once calls have failed for a while, and back at an answer', () => {
+  it('reports the store as lost after failed calls for 1 s, and as reached at an answer', () => {
     const {members, watching, wait} = setUp();
     watching.recordStoreCall(FAILED);
     chai.expect(members.self.store).equal('reached');
@@ -88,9 +88,9 @@
     chai.expect(members.self.store).equal('reached');
   });
 
-  it('let one that has lost the store try it again now and then', () => {
-    // It watches nothing any more; without a call of its own it would never
-    // learn that the store answers it again.
+  it('probes the store periodically after it was lost', () => {
+    // An instance that has lost the store watches nothing; without calls of its
+    // own it would never learn that the store answers again.
     const {watching, views, wait} = setUp();
     views.configuration.replaceAll({objects: [], version: 1}, 3_000);
     watching.recordStoreCall(FAILED);
@@ -104,8 +104,9 @@
   });
 
   for (const leavingMs of [2_000, 4_000, 17_000]) {
-    it(`ask in time for upstreams that may take ${leavingMs} ms to be left`, () => {
-      // Its own silence looked like an outage of the store to an instance.
+    it(`asks for upstreams in time when leaving may take ${leavingMs} ms`, () => {
+      // Guards against an instance that asks so late that its own gap between
+      // answers looks like an outage of the store.
       const {change} = fixture.BOUNDS;
       const {watching, views, wait} = setUp({
         ...fixture.BOUNDS,
@@ -117,9 +118,9 @@
     });
   }
 
-  it('let one whose call failed ask again, though a watcher answers it', () => {
-    // Guards against an instance that never asks again: it relied on watchers
-    // that had lost the store, for one call that had failed long before.
+  it('asks again some time after a failed call, although a watcher answers', () => {
+    // Guards against an instance that, after one failed call long ago, relies
+    // for ever on watchers that have lost the store.
     const {members, watching, views, wait} = setUp();
     views.upstreams.replaceAll({objects: [], version: 1}, 2_000);
     watching.recordStoreCall(FAILED);
--- a/packages/amaranthknot/tests/gateway/zones-and-homes.test.ts
+++ b/packages/amaranthknot/tests/gateway/zones-and-regions.test.ts
@@ -4,10 +4,10 @@
 import * as placementFixture from './placement-fixture.js';
 import * as virtualFleet from './virtual-fleet.js';
 
-/** Time in which a fleet that started at once knows itself, in ms. */
+/** Time in which a fleet whose instances start together converges, in ms. */
 const SETTLE_MS = 6_000;
 
-/** Upstreams in each of two zones. */
+/** Upstreams and their zones. */
 const UPSTREAMS = [
   ['near-1', 'zone-0'],
   ['near-2', 'zone-0'],
@@ -17,7 +17,7 @@
 
 const EVACUATIONS = platform.STORE_KINDS.evacuations;
 
-/** Requests that each instance places. */
+/** Number of requests that each instance places. */
 const REQUESTS = 20;
 
 const startFleet = async (): Promise<virtualFleet.VirtualFleet> => {
@@ -34,17 +34,17 @@
   return fleet;
 };
 
-/** Upstreams on which all instances place requests. */
+/** Places requests on all instances; returns the upstreams that got one. */
 const placeEverywhere = (
   {live}: virtualFleet.VirtualFleet,
-  homeRegions: readonly string[] = [],
+  regions: readonly string[] = [],
 ): ReadonlySet<string> => {
   const used = live().flatMap(instance =>
     Array.from({length: REQUESTS}, (_, index) => {
       const request = placementFixture.createPlacementRequest(
         instance,
         `${instance.id}-${index}`,
-        {allowedRegions: homeRegions},
+        {allowedRegions: regions},
       );
       const placed = instance.get('placement').place(request);
       placed.ifRight(({settle}) => {
@@ -56,9 +56,10 @@
   return new Set(used);
 };
 
-describe('a zone that operators take out', () => {
-  it('gets no new work within its bound, and again when it is back', async () => {
-    // Guards against requests that go on to upstreams which are to be emptied.
+describe('an evacuated zone', () => {
+  it('gets no new requests within the bound, and gets them again when it is back', async () => {
+    // Guards against requests that still go to upstreams which are to be
+    // drained.
     const fleet = await startFleet();
     chai.expect(placeEverywhere(fleet).size).equal(UPSTREAMS.length);
     const created = fleet.store.create(EVACUATIONS, 'zone-0', {});
@@ -72,8 +73,8 @@
   });
 });
 
-describe('a route with homes', () => {
-  it('is placed in its home regions alone', async () => {
+describe('a route with allowed regions', () => {
+  it('is placed only in its allowed regions', async () => {
     const fleet = await startFleet();
     chai.expect(placeEverywhere(fleet, ['north']).has('none')).equal(false);
     chai.expect([...placeEverywhere(fleet, ['south'])]).eql(['none']);
--- a/packages/amaranthknot/tests/memory-bounds.test.ts
+++ b/packages/amaranthknot/tests/memory-bounds.test.ts
@@ -22,7 +22,7 @@
   }
 };
 
-describe('bounds of memory', () => {
+describe('memory bounds', () => {
   let deployment: embeddedDeployment.EmbeddedDeployment;
   let address: string;
 
@@ -35,10 +35,11 @@
 
   afterEach(() => deployment.stop());
 
-  // All engines take requests and answer nothing. Callers go on sending; what
-  // they send is kept while it waits, and the instance grows until it dies.
-  // Past its settings it must refuse at once, with not_run and a time.
-  it('holds no more than its settings before stuck upstreams', async () => {
+  // All engines accept requests and never answer, while callers go on sending.
+  // Guards against waiting requests that fill the memory until the instance
+  // dies: above its limits it must refuse at once, with not_run and
+  // Retry-After.
+  it('limits requests in flight and queued when upstreams are stuck', async () => {
     const engines = [...deployment.fakes.engines.values()];
     engines.forEach(engine => (engine.fault = 'silent'));
     const admission = deployment.instances[0]!.resolve('admission');
@@ -78,10 +79,10 @@
     await until(() => admission.inFlight + admission.queued === 0);
   });
 
-  // The platform is out, so that no bill can be written. Answers go on, as
-  // peers hold the bills; but an outage that lasts would fill the memory, and
-  // past the bound a request must be refused before it runs.
-  it('keeps no more bills than its settings in an outage', async () => {
+  // During a platform outage no bill can be written. Answers go on, as peers
+  // hold copies of the bills; but a long outage would fill the memory, so above
+  // the limit a request must be refused before it runs.
+  it('limits pending bills during a platform outage', async () => {
     const bills = deployment.instances[0]!.resolve('bills');
     deployment.fakes.platform.mode = 'down';
     for (let i = 0; i < MAX_PENDING_BILLS; i++) {
--- a/packages/amaranthknot/tests/openai-client.test.ts
+++ b/packages/amaranthknot/tests/openai-client.test.ts
@@ -20,7 +20,7 @@
   const messages = [{role: 'user' as const, content: 'hello there'}];
   const text = 'small@v1 answers: hello there';
 
-  it('gets a plain answer', async () => {
+  it('gets an answer that is not streamed', async () => {
     const answer = await createClient().chat.completions.create({
       model: 'answers',
       messages,
@@ -53,9 +53,9 @@
     chai.expect(ids).eql(['answers', 'small']);
   });
 
-  // A caller goes away in the middle of a stream. The upstream must stop
-  // generating, or abandoned answers fill its batch.
-  it('cancels the work upstream when it aborts', async () => {
+  // A caller disconnects in the middle of a stream. Guards against upstreams
+  // that go on generating abandoned answers, which fill their batches.
+  it('cancels the upstream request when it aborts', async () => {
     const client = createClient(fixtures.keyOf('south'));
     const stream = await client.chat.completions.create({
       model: 'small@v1',
@@ -103,7 +103,7 @@
     });
   }
 
-  it('retries a refusal by itself', async () => {
+  it('retries after a refusal', async () => {
     const engines = [...deployment.fakes.engines.values()];
     for (const engine of engines) {
       engine.fault = 'refuse';
--- a/packages/amaranthknot/tests/operator-commands.test.ts
+++ b/packages/amaranthknot/tests/operator-commands.test.ts
@@ -44,35 +44,45 @@
   environment.files.set('meetups.toml', text.replace(from, to));
 };
 
-describe('operators’ commands', () => {
-  // Each row: what is wrong, the command line, exit code, words of the error.
+describe('operator commands', () => {
+  // Each row: name of the case, command line, exit code, pattern of the error.
   const refused: readonly (readonly [
     string,
     string,
     command.ExitCode,
     RegExp,
   ])[] = [
-    ['a flag misspelt', `status ${S} --jsn`, 2, /--jsn; did you mean --json\?/],
+    ['a misspelt flag', `status ${S} --jsn`, 2, /--jsn; did you mean --json\?/],
     ['a short flag', `status ${S} -x`, 2, /unknown option -x/],
-    ['a flag without value', 'status --settings', 2, /needs a string/],
+    ['a flag without a value', 'status --settings', 2, /needs a string/],
     [
-      'no number',
+      'a value that is not a number',
       `zone in x ${S} --wait-ms soon`,
       2,
       /--wait-ms needs a number/,
     ],
     ['a flag twice', `status ${S} ${S}`, 2, /only be set once/],
-    ['no settings', 'status', 2, /needs --settings/],
-    ['no document', 'check', 2, /needs DOC/],
-    ['an input too many', 'check a b', 2, /takes no "b"/],
+    ['missing settings', 'status', 2, /needs --settings/],
+    ['a missing document', 'check', 2, /needs DOC/],
+    ['an extra argument', 'check a b', 2, /takes no "b"/],
     ['a missing file', 'check nowhere.toml', 2, /nowhere\.toml: no such file/],
-    ['a zone misspelt', `zone out akl-aa ${S}`, 2, /did you mean "akl-a"\?/],
-    ['an action misspelt', `zone on akl-a ${S}`, 2, /no action "on"/],
-    ['a roll-out misspelt', `rollout pause guide ${S}`, 2, /guide-small/],
-    ['no roll-out named', `rollout pause ${S}`, 2, /needs MODEL/],
-    ['one environment', `promote --from a --to a ${S}`, 2, /two environments/],
+    ['a misspelt zone', `zone out akl-aa ${S}`, 2, /did you mean "akl-a"\?/],
+    ['a misspelt action', `zone on akl-a ${S}`, 2, /no action "on"/],
+    ['a misspelt rollout', `rollout pause guide ${S}`, 2, /guide-small/],
+    ['a missing rollout name', `rollout pause ${S}`, 2, /needs MODEL/],
+    [
+      'a promotion to the same environment',
+      `promote --from a --to a ${S}`,
+      2,
+      /two environments/,
+    ],
     ['nothing to promote', `promote --from x --to y ${S}`, 1, /nothing is in/],
-    ['nothing in force', `status ${S} --environment x`, 1, /nothing is in/],
+    [
+      'an environment without an active configuration',
+      `status ${S} --environment x`,
+      1,
+      /nothing is in/,
+    ],
     [
       'a misspelt environment',
       `status ${S} --environment tral`,
@@ -80,7 +90,7 @@
       /"trial"\?/,
     ],
     [
-      'a generation that is not in force',
+      'a generation that is not the active one',
       `apply meetups.toml ${S} --generation 7`,
       1,
       /another publication came first/,
@@ -96,7 +106,7 @@
     });
   }
 
-  it('prints problems with their place, and as JSON', async () => {
+  it('prints problems with file and line, and as JSON', async () => {
     const environment = fixture.createEnvironment();
     replace(environment, 'weight = 0.5', 'wieght = 0.5');
     const run = await environment.run('check meetups.toml');
@@ -136,12 +146,12 @@
     });
   }
 
-  it('takes a zone out and in, in one section each', async () => {
+  it('writes one section to take a zone out or in', async () => {
     const environment = await createApplied();
     const before = environment.store.count(membership.SECTION_KIND);
     const out = await runJson(environment, `zone out akl-b ${S}`);
     chai.expect(out.changes?.map(({key}) => key)).eql(['zones.akl-b.state']);
-    // The zone's own section, and the manifest that names it.
+    // The section of the zone, and the manifest that names it.
     const after = environment.store.count(membership.SECTION_KIND);
     chai.expect(after - before).equal(2);
     const back = await runJson(environment, `zone in akl-b ${S}`);
@@ -157,7 +167,7 @@
     chai.expect(run.err).contain('[all_zones_out]');
   });
 
-  it('pauses, resumes and withdraws a roll-out', async () => {
+  it('pauses, resumes and withdraws a rollout', async () => {
     const environment = await createApplied();
     for (const action of ['resume', 'pause', 'resume', 'withdraw']) {
       const run = await environment.run(`rollout ${action} guide-small ${S}`);
@@ -170,7 +180,7 @@
     chai.expect(resumed.err).contain('[rollout_withdrawn]');
   });
 
-  it('reports who lacks a generation after the wait', async () => {
+  it('reports instances that lack a generation after the wait', async () => {
     const environment = await createApplied();
     environment.generations.set('entry-1', 2);
     const run = await environment.run(`zone out akl-a ${S} --wait`);
@@ -182,7 +192,7 @@
     chai.expect(back.out).contain('in force on all 2 instances');
   });
 
-  it('shows progress on a terminal and is quiet in a pipe', async () => {
+  it('prints progress on a terminal but not in a pipe', async () => {
     const environment = await createApplied();
     const line = `status ${S}`;
     chai.expect((await environment.run(line)).err).equal('');
@@ -190,7 +200,7 @@
     chai.expect((await environment.run(line)).err).contain('asking 2');
   });
 
-  it('lists what is in force, where, and the entry instances', async () => {
+  it('lists the active generation, the zones and the entry instances', async () => {
     const environment = await createApplied();
     environment.generations.set('entry-1', 1);
     const shown = await environment.run(`status ${S}`);
@@ -200,7 +210,7 @@
     chai.expect(listed.out).equal('entry-1 tunis 127.0.0.1:8081 live\n');
   });
 
-  it('tells that the platform is out of reach', async () => {
+  it('reports that the platform is unreachable', async () => {
     const environment = await createApplied();
     environment.isListDown = true;
     chai.expect((await environment.run(`status ${S}`)).code).equal(3);
@@ -220,7 +230,7 @@
     'status',
     'zone',
   ]) {
-    it(`${name} has help, and its options are on the page`, async () => {
+    it(`${name} has help, and its options are documented`, async () => {
       const run = await fixture.createEnvironment().run(`${name} --help`);
       chai.expect(run.code).equal(0);
       chai.expect(run.out).contain(`$ amaranthknot ${name}`);
@@ -233,24 +243,26 @@
   }
 });
 
-describe('operators’ commands under failure', () => {
-  it('do not bring back a zone by a document written before', async () => {
-    // An operator takes a zone out. Another applies a document for a weight,
-    // written while the zone was in. The zone would get new work again, and
-    // nobody decided that: the document in the file just never knew.
+describe('operator commands with failures and races', () => {
+  it('do not bring back a zone by an older document', async () => {
+    // An operator takes a zone out. Another applies a document, written while
+    // the zone was in, to change a weight. Guards against bringing the zone
+    // back although nobody decided to.
     const environment = await createApplied();
     await environment.run(`zone out akl-b ${S}`);
     replace(environment, 'weight = 0.5', 'weight = 2');
     const run = await environment.run(`apply meetups.toml ${S}`);
     chai.expect(run.code).equal(1);
     chai.expect(run.err).contain('zones.akl-b.state "out" -> "in"');
-    const told = await environment.run(`apply meetups.toml ${S} --bring-back`);
-    chai.expect(told.code).equal(0);
+    const confirmed = await environment.run(
+      `apply meetups.toml ${S} --bring-back`,
+    );
+    chai.expect(confirmed.code).equal(0);
   });
 
   it('do not bring back a zone by promotion', async () => {
-    // A zone of production is out. What was tried in trial, where all zones
-    // are in, is promoted unchanged, and production would serve there again.
+    // A zone of production is out; in trial all zones are in. Guards against a
+    // promotion that brings the zone back unintentionally.
     const environment = await createApplied();
     const line = `promote --from trial --to production ${S}`;
     await environment.run(line);
@@ -259,9 +271,9 @@
     chai.expect((await environment.run(`${line} --bring-back`)).code).equal(0);
   });
 
-  it('take both changes of two operators who race', async () => {
-    // Two operators take a zone out each, at the same moment. Both read the
-    // same generation; the later write must not undo the earlier one.
+  it('keep both of two concurrent changes', async () => {
+    // Two operators each take a zone out at the same moment. Both read the same
+    // generation; the later write must not undo the earlier one.
     const environment = await createApplied();
     const runs = await Promise.all(
       ['akl-a', 'akl-b'].map(name => environment.run(`zone out ${name} ${S}`)),
@@ -271,10 +283,10 @@
     chai.expect(shown.out).contain('akl-a out, akl-b out, akl-c in');
   });
 
-  it('do not undo a change that came between reading and publishing', async () => {
-    // An operator's command has read the document and edits it. Another takes
-    // a zone out meanwhile. The first publishes what it edited, in which that
-    // zone is still in.
+  it('do not undo a change made between reading and publishing', async () => {
+    // A command reads the document and edits it; meanwhile another operator
+    // takes a zone out. Guards against publishing the edited document, in which
+    // that zone is still in.
     const environment = await createApplied();
     let reads = 0;
     environment.beforeGet = async kind => {
@@ -289,10 +301,10 @@
     chai.expect(shown.out).contain('akl-a out, akl-b out, akl-c in');
   });
 
-  it('publish every part of a document', async () => {
-    // A document with [sessions] is applied. The relay's own sections had no
-    // place for them: the instances never got the age of session tokens, and
-    // each diff showed it as a change still to be made.
+  it('publish every section of a document', async () => {
+    // Guards against a document part, here [sessions], for which there is no
+    // stored section: instances never get the maximum age of session tokens,
+    // and each diff shows it as a pending change.
     const environment = fixture.createEnvironment();
     const applied = await runJson(environment, `apply rostering.toml ${S}`);
     const checked = await runJson(environment, 'check rostering.toml');
@@ -301,10 +313,10 @@
     chai.expect(run.out).equal('trial, generation 1: 0 changes\n');
   });
 
-  it('take a zone out although the platform says it is out', async () => {
-    // The zone was out and came back in. The platform answers the next read
-    // of the head with the one before, where it is out. The operator asks for
-    // out; to say "nothing to change" would leave the zone in.
+  it('take a zone out although a stale read shows it as out', async () => {
+    // The zone was out and is in again, but the next read of the head is stale
+    // and shows it as out. Guards against answering "nothing to change", which
+    // would leave the zone in.
     const environment = await createApplied();
     await environment.run(`zone out akl-b ${S}`);
     await environment.run(`zone in akl-b ${S}`);
@@ -321,9 +333,9 @@
     chai.expect(shown.out).contain('akl-b out');
   });
 
-  it('settle a change whose answer was lost', async () => {
-    // The head's update takes effect and its answer is lost. The operator
-    // must neither be told that it failed nor find it done twice.
+  it('confirm a change whose answer was lost', async () => {
+    // The update of the head takes effect and its answer is lost. The operator
+    // must not be told that it failed, and it must not be applied twice.
     const environment = await createApplied();
     let isLost = true;
     environment.store.fault = operation => {
@@ -364,7 +376,7 @@
     return text;
   };
 
-  it('reads the settings and the key that it needs', () => {
+  it('reads the settings and the key file', () => {
     const opened = operatorConnection
       .connect('good.toml', readFile)
       .unsafeCoerce();
@@ -372,7 +384,7 @@
     opened.close();
   });
 
-  it('says which file is missing', () => {
+  it('names a missing file', () => {
     const withoutKey = (path: string): string =>
       path === 'inner.key' ? readFile('nowhere') : readFile(path);
     const failed = operatorConnection.connect('good.toml', withoutKey).swap();
@@ -382,7 +394,7 @@
     });
   });
 
-  it('says what is wrong with the settings', () => {
+  it('reports invalid settings', () => {
     const failed = operatorConnection
       .connect('bad.toml', () => '[instanc]\n')
       .swap()
@@ -413,7 +425,7 @@
       )
       .unsafeCoerce();
 
-  it('finds a withdrawn version that would be active again', () => {
+  it('finds a withdrawn version that becomes active again', () => {
     const found = configuration.findReactivations(
       parse('withdrawn'),
       parse('active'),
@@ -423,7 +435,7 @@
       .eql(['~ models.m.versions.v2.state "withdrawn" -> "active"']);
   });
 
-  it('finds nothing in a withdrawal', () => {
+  it('finds nothing when a version is withdrawn', () => {
     const found = configuration.findReactivations(
       parse('active'),
       parse('withdrawn'),
--- a/packages/amaranthknot/tests/operator-fixture.ts
+++ b/packages/amaranthknot/tests/operator-fixture.ts
@@ -1,4 +1,4 @@
-/** An environment in memory, for tests of operators' commands. */
+/** An in-memory environment for tests of the operator commands. */
 import * as fs from 'node:fs';
 import * as fakes from '@amaranthknot/fakes';
 import * as ports from '@amaranthknot/ports';
@@ -8,7 +8,7 @@
 import * as operatorCommands from '../src/commands/operator-commands.js';
 import type * as operatorConnection from '../src/operator/operator-connection.js';
 
-/** What a command printed, and its exit code. */
+/** Output and exit code of a command. */
 export interface Run {
   readonly code: command.ExitCode;
   readonly out: string;
@@ -18,15 +18,20 @@
 /** An environment with two entry instances. */
 export interface Environment {
   readonly store: fakes.MemoryObjectStore;
-  /** Files that commands read; examples are there from the start. */
+  /** Files that commands can read; contains the examples at first. */
   readonly files: Map<string, string>;
-  /** Generation that each instance reports; none means no answer. */
+  /**
+   * Active generation by instance id; an instance without one does not answer.
+   */
   readonly generations: Map<string, number>;
-  /** Set to make the instance list fail. */
+  /** Makes the instance list fail. */
   isListDown: boolean;
-  /** Runs before each read of a command; another operator may act here. */
+  /**
+   * Called before each read from the store, for example to act as another
+   * operator.
+   */
   beforeGet: (kind: string) => Promise<void>;
-  /** Whether the error stream is a terminal. */
+  /** Whether standard error is a terminal. */
   isTerminal: boolean;
   run(line: string): Promise<Run>;
 }
@@ -70,7 +75,7 @@
     return purify.Right(await server.handle(text));
   };
 
-/** A clock whose sleepers wake at once, so that waits end. */
+/** A clock that advances on `sleep` without waiting. */
 const createInstantClock = (): ports.Clock => {
   let time = 0;
   return {
@@ -83,7 +88,7 @@
   };
 };
 
-/** The store with a hook before each read. */
+/** The store, with a hook before each `get`. */
 const hookReads = (
   store: ports.ObjectStore,
   before: (kind: string) => Promise<void>,
@@ -101,7 +106,7 @@
     store.watch(kind, after, waitMs, signal),
 });
 
-/** Creates an environment with nothing in force. */
+/** Creates an environment without an active configuration. */
 export const createEnvironment = (): Environment => {
   const clock = createInstantClock();
   const store = new fakes.MemoryObjectStore({clock});
--- a/packages/amaranthknot/tests/processes.test.ts
+++ b/packages/amaranthknot/tests/processes.test.ts
@@ -18,9 +18,8 @@
     (await ledger.readBills(deployment.fakes.platform.store)).unsafeCoerce();
 
   // An instance answers and is killed before it has written its bills. The
-  // caller has its answer, so its bill must be written by the peers that hold
-  // copies, and by both of them together only once.
-  it('bills answers of a killed instance once', async () => {
+  // peers that hold copies must write them, each bill only once.
+  it('write the bills of a killed instance once', async () => {
     const answers = await Promise.all(
       ['a', 'b', 'c', 'd', 'e'].map(prompt =>
         fixtures.chat(addressOf(0), prompt),
@@ -39,8 +38,9 @@
     chai.expect(bills.duplicates).equal(0);
   });
 
-  it('says that it is ready only once it knows its upstreams', async () => {
-    // Guards against refusals by an instance that has just said it is ready.
+  it('are ready only when their upstreams are known', async () => {
+    // Guards against an instance that reports ready and then refuses requests
+    // because it knows no upstream.
     const [instance] = deployment.instances;
     const {platform} = deployment.fakes;
     platform.isInstanceListDown = true;
@@ -57,10 +57,10 @@
     chai.expect((await fixtures.chat(addressOf(0), 'a')).status).equal(200);
   });
 
-  // A booking's service is slow to be reached; the instance that claimed it is
-  // killed. A retry elsewhere can not know whether it ran: it says `unknown`,
-  // and never sends it a second time.
-  it('never runs a booking of a killed instance again', async () => {
+  // The booking service receives a booking and does not answer; the instance
+  // that claimed it is killed. Another instance cannot know whether it ran: it
+  // answers a retry with `unknown` and never sends the booking again.
+  it('never send a booking of a killed instance again', async () => {
     const services = [...deployment.fakes.services.values()];
     for (const service of services) {
       service.fault = 'silent';
@@ -80,9 +80,9 @@
     chai.expect(countRuns()).equal(1);
   });
 
-  // Operators replace an instance while callers stream from it, and callers
-  // with an old answer of the directory still come. No request may be cut.
-  it('cuts no request in a planned stop', async () => {
+  // Operators stop an instance while callers stream from it, and callers with
+  // an outdated list of instances still arrive. No request may be cut.
+  it('cut no request in a planned stop', async () => {
     const leaving = deployment.instances[0]!;
     const prompt = 'word '.repeat(60);
     const ask = () => fixtures.chat(leaving.address, prompt, {stream: true});
@@ -90,7 +90,7 @@
     await new Promise(resolve => setTimeout(resolve, 200));
     leaving.signal('SIGTERM');
     await processes.waitUntil(
-      'the instance says it leaves',
+      'the instance is not ready',
       async () => !(await leaving.isReady()),
     );
     const late = ask();
@@ -98,7 +98,7 @@
       chai.expect(answer.status).equal(200);
       chai.expect(answer.text).match(/\[DONE\]\s*$/);
     }
-    await processes.waitUntil('peers stop offering it', async () => {
+    await processes.waitUntil('peers no longer list it', async () => {
       const listed = await fixtures.send(addressOf(1), '/v1/entry-instances', {
         method: 'GET',
       });
@@ -110,22 +110,25 @@
     chai.expect(bills.bills.length).equal(4);
   });
 
-  // An instance is paused while operators take a zone out, and wakes. Its clock
-  // tells it that it has not heard for too long: it must not start work in the
-  // zone by its old configuration.
-  it('starts no work in a zone taken out while it was paused', async () => {
+  // An instance is paused while operators take a zone out, and resumes later.
+  // Its clock shows that its configuration is stale: it must start no work in
+  // that zone by it.
+  it('start no work in a zone that was taken out while they were paused', async () => {
     const paused = deployment.instances[1]!;
     paused.signal('SIGSTOP');
     const document = fixtures.createDocument({zoneStates: {'zone-b': 'out'}});
     const {store} = deployment.fakes.platform;
     const published = await membership.publishDocument(store, 'test', document);
     const {generation} = published.unsafeCoerce();
-    await processes.waitUntil('the others have it in force', async () => {
-      const states = await Promise.all(
-        [0, 2].map(index => deployment.instances[index]!.readState()),
-      );
-      return states.every(state => state['generation'] === generation);
-    });
+    await processes.waitUntil(
+      'it is active on the other instances',
+      async () => {
+        const states = await Promise.all(
+          [0, 2].map(index => deployment.instances[index]!.readState()),
+        );
+        return states.every(state => state['generation'] === generation);
+      },
+    );
     await new Promise(resolve => setTimeout(resolve, 6_000));
     const engine = deployment.fakes.engines.get('engine-2')!;
     const before = engine.started.length;
@@ -139,7 +142,7 @@
       chai.expect([200, 503]).include(answer.status);
     }
     await processes.waitUntil(
-      'the paused instance has it in force',
+      'it is active on the paused instance',
       async () => {
         const state = await paused.readState();
         return state['generation'] === generation;
--- a/packages/amaranthknot/tests/rollouts.test.ts
+++ b/packages/amaranthknot/tests/rollouts.test.ts
@@ -5,10 +5,10 @@
 
 const STEPS = [0.1, 0.4, 1];
 
-/** Requests in flight together. */
+/** Requests that are sent concurrently. */
 const BATCH = 30;
 
-describe('a roll-out over three instances', () => {
+describe('a rollout on three instances', () => {
   let deployment: embeddedDeployment.EmbeddedDeployment;
   beforeEach(async () => {
     const document = fixtures.createDocument({rolloutSteps: STEPS});
@@ -27,7 +27,7 @@
     holds: () => boolean,
   ): Promise<ReadonlyMap<string, number>> => {
     const counts = new Map<string, number>();
-    await processes.waitUntil('the roll-out has moved', async () => {
+    await processes.waitUntil('the rollout has progressed', async () => {
       const answers = await Promise.all(
         Array.from({length: BATCH}, (_, i) =>
           fixtures.chat(addresses[i % addresses.length]!, 'hello', {
@@ -45,14 +45,14 @@
     return counts;
   };
 
-  const smallInForce = (index: number) =>
+  const findActiveSmallModel = (index: number) =>
     deployment.instances[index]!.resolve('follower')
       .activeConfiguration()!
       .document.models.find(model => model.name === 'small')!;
 
   const isWithdrawnEverywhere = () =>
     [0, 1, 2].every(index =>
-      smallInForce(index).versions.some(
+      findActiveSmallModel(index).versions.some(
         version => version.name === 'v2' && version.state === 'withdrawn',
       ),
     );
@@ -66,7 +66,7 @@
     );
 
   // Every answer of the new version is bad. Callers of all instances get a few
-  // of them while it is at its first step; then it is withdrawn everywhere.
+  // of them during its first step; then it is withdrawn everywhere.
   it('stops a bad version and withdraws it everywhere', async () => {
     rateVersion('v2', 0);
     const counts = await sendUntil(deployment.addresses, isWithdrawnEverywhere);
@@ -77,9 +77,10 @@
     chai.expect([...after.keys()]).eql(['small@v1']);
   });
 
-  // The instance that drives the roll-out leaves half way. Another takes the
-  // duty and goes on from the written state, with a higher fencing number.
-  it('is resumed by another instance when its driver leaves', async () => {
+  // The instance that drives the rollout stops half way. Another one takes the
+  // leased task and continues from the stored state, with a higher fencing
+  // number.
+  it('is resumed by another instance when its driver stops', async () => {
     const isDriver = (index: number) =>
       deployment.instances[index]!.resolve('duties').heldTasks().length > 0;
     await sendUntil(deployment.addresses, () => hasEvent('rollout_step'));
--- a/packages/amaranthknot/tests/support/fixtures.ts
+++ b/packages/amaranthknot/tests/support/fixtures.ts
@@ -9,7 +9,7 @@
 const digest = (key: string): string =>
   `sha256:${crypto.createHash('sha256').update(key).digest('hex')}`;
 
-/** Key of a test workspace. */
+/** API key of a test workspace. */
 export const keyOf = (workspace: string): string => `test-key-of-${workspace}`;
 
 const createWorkspaceTable = (name: string, cascade?: string): string => `
@@ -25,11 +25,14 @@
 max_wait_ms = 5000
 `;
 
-/** Text of the test environment; `extra` is appended. */
+/** Text of the test document, as TOML. */
 export const createDocumentText = (
   overrides: {
     readonly zoneStates?: Readonly<Record<string, string>>;
-    /** Steps of a roll-out of small from v1 to v2. */
+    /**
+     * Steps of a rollout of small from v1 to v2; without them there is no
+     * rollout.
+     */
     readonly rolloutSteps?: readonly number[];
   } = {},
 ): string => `
@@ -83,7 +86,7 @@
 ).join('\n')}
 `;
 
-/** The parsed test environment. */
+/** The parsed test document. */
 export const createDocument = (
   overrides: Parameters<typeof createDocumentText>[0] = {},
 ): configuration.Document =>
@@ -113,7 +116,7 @@
     },
   ]);
 
-/** Starts the test deployment with three entry instances. */
+/** Starts the test deployment with one entry instance in each zone. */
 export const startDeployment = (
   overrides: Partial<embeddedDeployment.EmbeddedOptions> = {},
 ): Promise<embeddedDeployment.EmbeddedDeployment> =>
@@ -125,7 +128,7 @@
     ...overrides,
   });
 
-/** An answer to a raw HTTP request. */
+/** An HTTP answer; `json` is undefined if the body is not JSON. */
 export interface RawAnswer {
   readonly status: number;
   readonly headers: Headers;
@@ -133,7 +136,7 @@
   readonly json: any; // eslint-disable-line @typescript-eslint/no-explicit-any
 }
 
-/** Sends a raw HTTP request as a workspace. */
+/** Sends an HTTP request with the key of a workspace, by default `north`. */
 export const send = async (
   address: string,
   path: string,
@@ -170,7 +173,7 @@
   return {status: answer.status, headers: answer.headers, text, json};
 };
 
-/** Asks for a chat completion. */
+/** Requests a chat completion, by default of `answers` and not streamed. */
 export const chat = (
   address: string,
   prompt: string,
--- a/packages/amaranthknot/tests/support/processes.ts
+++ b/packages/amaranthknot/tests/support/processes.ts
@@ -1,4 +1,7 @@
-/** Entry instances as processes of their own; stand-ins stay in the test. */
+/**
+ * Runs entry instances as separate processes; the fakes run in the test
+ * process.
+ */
 import * as childProcess from 'node:child_process';
 import * as crypto from 'node:crypto';
 import * as fs from 'node:fs';
@@ -13,13 +16,13 @@
 
 const MAIN = url.fileURLToPath(new URL('../../src/main.ts', import.meta.url));
 
-/** Longest wait for a condition, in milliseconds; then the test fails. */
+/** Time after which a wait for a condition fails, in milliseconds. */
 const CONDITION_TIMEOUT_MS = 40_000;
 
-/** Operators' key of test deployments. */
+/** Operator key of test deployments. */
 export const OPERATOR_KEY = 'test-operator-key-0123456789abcdef';
 
-/** Waits until a condition holds; throws when it does not in time. */
+/** Polls until a condition holds; throws after `CONDITION_TIMEOUT_MS`. */
 export const waitUntil = async (
   what: string,
   holds: () => boolean | Promise<boolean>,
@@ -27,7 +30,7 @@
   const end = Date.now() + CONDITION_TIMEOUT_MS;
   while (!(await holds())) {
     if (Date.now() > end) {
-      throw new Error(`waited in vain for: ${what}`);
+      throw new Error(`timed out waiting for: ${what}`);
     }
     await new Promise(resolve => setTimeout(resolve, 25));
   }
@@ -63,7 +66,7 @@
 level = "error"
 `;
 
-/** One entry instance in a process of its own. */
+/** One entry instance in a separate process. */
 export class InstanceProcess {
   private child: childProcess.ChildProcess | undefined;
   exitCode: number | null | undefined;
@@ -89,12 +92,15 @@
     await waitUntil(`${this.id} is ready`, () => this.isReady());
   }
 
-  /** Sends a signal to this process and no other. */
+  /** Sends a signal to this process only. */
   signal(name: NodeJS.Signals): void {
     this.child?.kill(name);
   }
 
-  /** Resolves when the process has exited. */
+  /**
+   * Resolves when the process has exited; throws after the time-out of
+   * `waitUntil`.
+   */
   async waitForExit(): Promise<void> {
     await waitUntil(`${this.id} exits`, () => this.exitCode !== undefined);
   }
@@ -110,7 +116,7 @@
     }
   }
 
-  /** State as operators see it. */
+  /** Reads `/operator/state` with the operator key. */
   async readState(): Promise<Readonly<Record<string, unknown>>> {
     const answer = await fixtures.send(this.address, '/operator/state', {
       method: 'GET',
@@ -120,14 +126,14 @@
   }
 }
 
-/** Stand-ins in the test and entry instances as processes. */
+/** A fake deployment in the test process, and entry instances in their own. */
 export interface ProcessDeployment {
   readonly fakes: fakes.FakeDeployment;
   readonly instances: readonly InstanceProcess[];
   stop(): Promise<void>;
 }
 
-/** Starts stand-ins and one process in each zone. */
+/** Starts the fakes and one entry process in each zone. */
 export const startProcesses = async (
   options: {readonly tokenMs?: number} = {},
 ): Promise<ProcessDeployment> => {
--- a/packages/amaranthknot/tests/support/raw-caller.ts
+++ b/packages/amaranthknot/tests/support/raw-caller.ts
@@ -1,8 +1,10 @@
-/** Callers that a library would not let be: raw bytes on a socket. */
+/**
+ * Sends raw bytes on a socket, for requests that HTTP libraries refuse to send.
+ */
 import * as net from 'node:net';
 import * as chai from 'chai';
 
-/** An answer read from a socket until its end. */
+/** An answer read from a socket up to its end. */
 export interface RawReply {
   readonly status: number;
   readonly head: string;
@@ -15,16 +17,16 @@
   return {status, head: text.slice(0, end), body: text.slice(end + 4)};
 };
 
-/** Opens a connection. */
+/** Opens a connection; ignores its errors. */
 export const connect = (address: string): net.Socket => {
   const [host = '', port = ''] = address.split(':');
   const socket = net.connect(Number(port), host);
-  // A server that refuses early closes while the caller still sends.
+  // A server that refuses a request early closes while the caller still sends.
   socket.on('error', () => undefined);
   return socket;
 };
 
-/** Reads one answer, by its length or until the server closes. */
+/** Reads one answer up to its content length, or until the server closes. */
 export const readToEnd = (socket: net.Socket): Promise<RawReply> =>
   new Promise(resolve => {
     let text = '';
@@ -40,7 +42,7 @@
     socket.once('close', () => resolve(parseReply(text)));
   });
 
-/** Sends bytes and reads the answer. */
+/** Sends bytes on a new connection and reads the answer. */
 export const exchange = (address: string, bytes: string): Promise<RawReply> => {
   const socket = connect(address);
   const reply = readToEnd(socket);
@@ -50,7 +52,10 @@
 
 const RAN = ['not_run', 'unknown', 'ran'];
 
-/** Checks that an error's body is typed as the documents say. */
+/**
+ * Checks that the body of an error has the documented fields; returns the
+ * error.
+ */
 export const checkError = (body: string): {code: string; ran: string} => {
   const {error} = JSON.parse(body) as {error: Record<string, unknown>};
   chai.assert.isString(error['code']);
--- a/packages/amaranthknot/tests/timeline.test.ts
+++ b/packages/amaranthknot/tests/timeline.test.ts
@@ -16,14 +16,14 @@
 
   const run = async (args: readonly string[]) => {
     const [first] = deployment.instances;
-    const parts = first!.resolve;
+    const resolve = first!.resolve;
     const command = timeline.createTimeline(() =>
       purify.Right({
         environment: 'test',
-        store: parts('store'),
-        instances: parts('instanceList'),
-        transport: parts('transport').send,
-        clock: parts('options').clock,
+        store: resolve('store'),
+        instances: resolve('instanceList'),
+        transport: resolve('transport').send,
+        clock: resolve('options').clock,
         close: () => undefined,
       }),
     );
@@ -38,9 +38,9 @@
     return {code, out, err};
   };
 
-  // A booking is retried on another instance. An operator wants its story:
-  // claimed on one instance, repeated on the other, in this order.
-  it('merges the story of a workspace over all instances', async () => {
+  // A booking is retried on another instance. Its events must appear in order:
+  // claimed on one instance, repeated on the other.
+  it('merges the events of a workspace from all instances', async () => {
     await fixtures.book(deployment.addresses[0]!, 'key-1');
     await fixtures.book(deployment.addresses[2]!, 'key-1');
     const {code, out} = await run(['--workspace', 'north']);
@@ -52,7 +52,7 @@
     chai.expect(names).eql(['entry-1 claim_granted', 'entry-3 claim_repeated']);
   });
 
-  it('draws a picture of one request', async () => {
+  it('draws the events of one request as SVG', async () => {
     const answer = await fixtures.chat(deployment.addresses[1]!, 'hello');
     const file = path.join(os.tmpdir(), `timeline-${process.pid}.svg`);
     const {code, out} = await run(['--request', answer.json.id, '--svg', file]);
@@ -66,8 +66,8 @@
       .length(out.trim().split('\n').length);
   });
 
-  // One instance is gone. What the others hold is still shown, and the command
-  // says which one is missing.
+  // One instance is gone. The events of the others are still printed, and the
+  // command names the missing one.
   it('names instances that do not answer', async () => {
     deployment.fakes.platform.register({
       id: 'entry-9',
@@ -83,7 +83,7 @@
     chai.expect(out + err).match(/instance_started/);
   });
 
-  it('refuses an unknown filter with the nearest one', async () => {
+  it('refuses an unknown filter and suggests the nearest one', async () => {
     const {code, err} = await run(['--workspce', 'north']);
     chai.expect(code).equal(2);
     chai.expect(err).match(/--workspace/);
--- a/packages/amaranthknot/tests/versions-and-zones.test.ts
+++ b/packages/amaranthknot/tests/versions-and-zones.test.ts
@@ -38,7 +38,7 @@
     ),
   });
 
-describe('versions, sessions and zones over three instances', () => {
+describe('versions, sessions and zones on three instances', () => {
   let deployment: embeddedDeployment.EmbeddedDeployment;
   let document: configuration.Document;
   beforeEach(async () => {
@@ -47,17 +47,17 @@
   });
   afterEach(() => deployment.stop());
 
-  /** Publishes a change; resolves when it is in force on every instance. */
+  /** Publishes a change; resolves when it is active on every instance. */
   const apply = async (change: Change): Promise<void> => {
     document = change(document);
     const {store} = deployment.fakes.platform;
     const published = await membership.publishDocument(store, 'test', document);
     const {generation} = published.unsafeCoerce();
-    const isInForce = () =>
+    const isActive = () =>
       deployment.instances.every(
         one => one.resolve('follower').activeGeneration() >= generation,
       );
-    while (!isInForce()) {
+    while (!isActive()) {
       await new Promise(resolve => setTimeout(resolve, 10));
     }
   };
@@ -77,8 +77,8 @@
     return (JSON.parse(payload) as {pins: {small: string}}).pins.small;
   };
 
-  // A session began on v1; the default moves to v2 meanwhile. On any instance
-  // the session must stay on v1, by token or by its caller's own id.
+  // A session starts on v1, then the default moves to v2. On every instance the
+  // session must stay on v1, by its token or by the session id of its caller.
   it('keeps a session on its version', async () => {
     const first = await ask(0, {});
     const token = first.headers.get('x-session-token')!;
@@ -97,8 +97,8 @@
     }
   });
 
-  // v1 is withdrawn while sessions hold it. They move to its successor, on
-  // every instance the same, and v1 gets no new work.
+  // v1 is withdrawn while sessions are pinned to it. They move to its
+  // successor, the same on every instance, and v1 gets no new work.
   it('moves sessions of a withdrawn version to its successor', async () => {
     const first = await ask(0, {'x-session-id': 'meetup-8'});
     const token = first.headers.get('x-session-token')!;
@@ -116,8 +116,8 @@
     }
   });
 
-  // Operators take zone-a out. No instance may start work there, also the one
-  // inside; callers are no longer sent to it.
+  // Operators take zone-a out. No instance may start work there, not even the
+  // one in zone-a, and callers are no longer sent to it.
   it('starts no work in a zone that is out', async () => {
     await apply(setZone('zone-a', 'out'));
     const [inside] = [...deployment.fakes.engines.values()];
@@ -137,9 +137,9 @@
     chai.expect(zones).not.include('zone-a');
   });
 
-  // Operators bring zone-a back. The instance inside prefers its own zone, so
-  // that all its work would go there at once, to an engine with cold caches.
-  it('brings work back to a returning zone little by little', async () => {
+  // Operators bring zone-a back. The instance there prefers its own zone;
+  // without a ramp all its work would go at once to an engine with cold caches.
+  it('ramps up work in a zone that is back', async () => {
     const requests = 30;
     const [inside] = [...deployment.fakes.engines.values()];
     await apply(setZone('zone-a', 'out'));
@@ -156,8 +156,8 @@
     }
   });
 
-  // The platform lists an engine as leaving; its process goes on for a while.
-  // Once an instance has read the list, it may start no new work there.
+  // The platform lists an engine as leaving, while its process runs on. Once an
+  // instance has read the list, it may start no new work there.
   it('starts no work on a leaving upstream', async () => {
     const {platform, engines} = deployment.fakes;
     const engine = engines.get('engine-1')!;
@@ -183,8 +183,8 @@
     chai.expect(engine.started.length).equal(before);
   });
 
-  // A caller shows a session token of another workspace, or a forged one.
-  it('refuses session tokens that are not its own', async () => {
+  // A caller sends a session token of another workspace, or a forged one.
+  it('refuses session tokens that are forged or of another workspace', async () => {
     const first = await ask(0, {});
     const token = first.headers.get('x-session-token')!;
     const cases = [
@@ -205,9 +205,10 @@
     }
   });
 
-  // A workspace tries what its rules leave out: a model that it may use only
-  // inside a cascade, another version than the one named, then, after a change
-  // of the rules, the cascade itself. It must hear that there is no such model.
+  // A workspace requests what its rules do not allow: a model that it may use
+  // only inside a cascade, a version that is not the one named, then, after a
+  // change of the rules, the cascade itself. Each must be answered as an
+  // unknown model.
   it('runs only what the workspace is allowed', async () => {
     const tryModels = async (expected: Readonly<Record<string, number>>) => {
       for (const [model, status] of Object.entries(expected)) {
@@ -243,10 +244,11 @@
 });
 
 describe('a request that waits for admission', () => {
-  // One slot: a second request waits behind a long one. Meanwhile its version
-  // is withdrawn, in force on the instance. Chosen before the wait, the version
-  // would get new work seconds after its withdrawal.
-  it('starts on no version that was withdrawn meanwhile', async () => {
+  // With one slot, a second request waits behind a long one. Meanwhile its
+  // version is withdrawn, and the withdrawal is active on the instance. If the
+  // version were chosen before the wait, it would get new work seconds after
+  // its withdrawal.
+  it('does not start on a version withdrawn during the wait', async () => {
     const deployment = await fixtures.startDeployment({
       zones: ['zone-a'],
       limits: {maxInFlight: 1},
@@ -272,9 +274,10 @@
     await deployment.stop();
   });
 
-  // A booking waits behind a long answer; meanwhile its workspace loses the
-  // service. Checked before the wait only, the booking would run all the same.
-  it('books nothing that the rules forbid meanwhile', async () => {
+  // A booking waits behind a long answer; meanwhile its workspace loses access
+  // to the service. If access were checked only before the wait, the booking
+  // would run.
+  it('does not run if its workspace lost access during the wait', async () => {
     const deployment = await fixtures.startDeployment({
       zones: ['zone-a'],
       limits: {maxInFlight: 1},
