--- a/packages/entry/src/chat-observer.ts
+++ b/packages/entry/src/chat-observer.ts
@@ -1,5 +1,5 @@
 /**
- * Records the progress of chat runs in events, metrics, cascades, roll-outs.
+ * Records the progress of chat runs in events, metrics, cascades, rollouts.
  */
 import type * as upstreams from '@amaranthknot/upstreams';
 import type * as chatRunner from './chat-runner.js';
--- a/packages/entry/src/entry-dependencies.ts
+++ b/packages/entry/src/entry-dependencies.ts
@@ -78,7 +78,7 @@
   readonly listAddresses: (zone?: string) => readonly EntryAddress[];
   readonly admission: admissionController.AdmissionController;
   readonly cascades: decisions.CascadePolicy;
-  /** Version that a roll-out assigns to a session without a pin. */
+  /** Version that a rollout assigns to a session without a pin. */
   readonly assignVersion: (
     model: string,
     sessionKey: string,
@@ -110,7 +110,7 @@
   readonly offerForRating: (answer: DeliveredAnswer) => void;
   /** Records that an upstream refused an attempt because it is cold. */
   readonly recordColdRefusal: (upstream: string) => void;
-  /** Counts an observation of a version that a roll-out may concern. */
+  /** Counts an observation of a version that a rollout may concern. */
   readonly recordObservation: (
     model: string,
     version: string,
--- a/packages/entry/src/rollout-counters.ts
+++ b/packages/entry/src/rollout-counters.ts
@@ -1,20 +1,20 @@
-/** Counts this instance's observations of the versions of each roll-out. */
+/** Counts this instance's observations of the versions of each rollout. */
 import type * as configuration from '@amaranthknot/configuration';
 import * as decisions from '@amaranthknot/decisions';
 
-/** Name of a roll-out; a new one must not inherit the evidence of another. */
+/** Name of a rollout; a new one must not inherit the evidence of another. */
 export const nameRollout = (rollout: configuration.Rollout): string =>
   `${rollout.model}.${rollout.from}.${rollout.to}`;
 
 /** Counts to add to the evidence on a version. */
 export type VersionObservation = Partial<decisions.VersionCounts>;
 
-/** Evidence of one instance, by roll-out. */
+/** Evidence of one instance, by rollout. */
 export class RolloutCounters {
   private readonly evidence = new Map<string, decisions.RolloutEvidence>();
 
   /**
-   * Counts an observation if the version is the old or new one of a roll-out.
+   * Counts an observation if the version is the old or new one of a rollout.
    */
   count(
     rollouts: readonly configuration.Rollout[],
@@ -35,7 +35,7 @@
     this.evidence.set(name, after);
   }
 
-  /** Evidence counted for a roll-out since this instance started. */
+  /** Evidence counted for a rollout since this instance started. */
   read(name: string): decisions.RolloutEvidence {
     return this.evidence.get(name) ?? decisions.NO_EVIDENCE;
   }
--- a/packages/entry/src/rollout-driver.ts
+++ b/packages/entry/src/rollout-driver.ts
@@ -1,5 +1,5 @@
 /**
- * Drives one roll-out while this instance holds its lease: collects the
+ * Drives one rollout while this instance holds its lease: collects the
  * evidence of all instances, evaluates it, and writes the decision to an object
  * that all instances read and that the next holder resumes from.
  */
@@ -8,17 +8,17 @@
 import type * as ports from '@amaranthknot/ports';
 import * as rolloutCounters from './rollout-counters.js';
 
-/** Kind of roll-out state objects in the object API. */
+/** Kind of rollout state objects in the object API. */
 export const ROLLOUT_KIND = 'rollout_state';
 
-/** Value of a roll-out's state object. */
+/** Value of a rollout's state object. */
 export interface StoredRollout {
   readonly state: decisions.RolloutState;
   /** Fencing number of the holder that wrote it. */
   readonly fencing: number;
 }
 
-/** A term of the lease under which this instance drives the roll-out. */
+/** A term of the lease under which this instance drives the rollout. */
 export interface TaskTerm {
   readonly fencing: number;
   mayAct(): boolean;
@@ -54,7 +54,7 @@
   readonly version: number;
 }
 
-/** Name of a roll-out's state object. */
+/** Name of a rollout's state object. */
 export const nameRolloutState = (
   environment: string,
   rollout: configuration.Rollout,
@@ -105,7 +105,7 @@
     0,
   );
 
-/** Evaluates the roll-out once; returns whether to continue driving it. */
+/** Evaluates the rollout once; returns whether to continue driving it. */
 const evaluate = async (
   dependencies: RolloutDriverDependencies,
   rollout: configuration.Rollout,
@@ -147,7 +147,7 @@
   return true;
 };
 
-/** Evaluates a roll-out repeatedly until it is stopped or the term ends. */
+/** Evaluates a rollout repeatedly until it is stopped or the term ends. */
 export const driveRollout = async (
   dependencies: RolloutDriverDependencies,
   rollout: configuration.Rollout,
--- a/packages/entry/src/rollout-shares.ts
+++ b/packages/entry/src/rollout-shares.ts
@@ -1,4 +1,4 @@
-/** Share of new sessions that each roll-out assigns to its new version. */
+/** Share of new sessions that each rollout assigns to its new version. */
 import type * as configuration from '@amaranthknot/configuration';
 import * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
@@ -15,7 +15,7 @@
  */
 const MAX_SHARE_AGE_MS = 10_000;
 
-/** Reads and caches the shares of all roll-outs. */
+/** Reads and caches the shares of all rollouts. */
 export class RolloutShares {
   private shares = new Map<string, number>();
   private readAt = Number.NEGATIVE_INFINITY;
@@ -25,7 +25,7 @@
     private readonly clock: ports.Clock,
   ) {}
 
-  /** Reads all states; call it only while the document has a roll-out. */
+  /** Reads all states; call it only while the document has a rollout. */
   async refresh(environment: string): Promise<void> {
     const kind = rolloutDriver.ROLLOUT_KIND;
     const listing = await this.store.list(kind, `${environment}.`);
@@ -40,7 +40,7 @@
     });
   }
 
-  /** Share of new sessions for a roll-out's new version, 0 to 1. */
+  /** Share of new sessions for a rollout's new version, 0 to 1. */
   getShare(environment: string, rollout: configuration.Rollout): number {
     const isStale = this.clock.now() - this.readAt > MAX_SHARE_AGE_MS;
     if (isStale || rollout.state === 'withdrawn') {
@@ -50,7 +50,7 @@
     return this.shares.get(name) ?? 0;
   }
 
-  /** Version for a new session; undefined if the model has no roll-out. */
+  /** Version for a new session; undefined if the model has no rollout. */
   assign(
     environment: string,
     rollouts: readonly configuration.Rollout[],
--- a/packages/entry/src/select-version.ts
+++ b/packages/entry/src/select-version.ts
@@ -8,7 +8,7 @@
   readonly allowed?: readonly string[];
   /** Version that the session keeps. */
   readonly pinned?: string;
-  /** Version that a roll-out assigns to a new session. */
+  /** Version that a rollout assigns to a new session. */
   readonly assigned?: string;
 }
 
@@ -38,7 +38,7 @@
 };
 
 /**
- * Selects the session's pinned version, else the roll-out's, else the default,
+ * Selects the session's pinned version, else the rollout's, else the default,
  * else any allowed one; never a withdrawn version or one that the rules forbid.
  *
  * @returns undefined if no version may be used
--- a/packages/membership/src/lease-keeper.ts
+++ b/packages/membership/src/lease-keeper.ts
@@ -14,7 +14,7 @@
 
 /**
  * Time for which a lease is valid without renewal, in milliseconds. It is short
- * enough that a roll-out or pool has no holder for little more than 10 s after
+ * enough that a rollout or pool has no holder for little more than 10 s after
  * a kill, and long enough that two renewals may be lost.
  */
 export const LEASE_MS = 10_000;
--- a/packages/membership/src/leased-task-runner.ts
+++ b/packages/membership/src/leased-task-runner.ts
@@ -1,5 +1,5 @@
 /**
- * Runs named leased tasks, such as one roll-out or the orders to one pool. Each
+ * Runs named leased tasks, such as one rollout or the orders to one pool. Each
  * runs on one instance at a time: the one that holds the task's lease.
  */
 import * as decisions from '@amaranthknot/decisions';
--- a/packages/membership/tests/lease-keeper.test.ts
+++ b/packages/membership/tests/lease-keeper.test.ts
@@ -41,7 +41,7 @@
     chai.expect(keepers.filter(each => each.mayAct()).length).equal(1);
   });
 
-  // Guards against a roll-out that runs twice: its holder was paused past its
+  // Guards against a rollout that runs twice: its holder was paused past its
   // lease, resumes and gives orders beside its successor.
   it('stops a holder that was paused past its lease', async () => {
     const {clock, createKeeper} = createFixture();
--- a/packages/membership/tests/leased-task-runner.test.ts
+++ b/packages/membership/tests/leased-task-runner.test.ts
@@ -69,7 +69,7 @@
     chai.expect(costs[1]).closeTo(costs[0]!, 4);
   });
 
-  // Guards against a roll-out that stands still until a lease expires, or runs
+  // Guards against a rollout that stands still until a lease expires, or runs
   // in two places, when its holder is stopped for a new release.
   it('hands its duties over before it leaves', async () => {
     const {clock, members, running, fencings, startAll} = createFixture(3);
@@ -90,7 +90,7 @@
     chai.expect(running.length).equal(1);
   });
 
-  // The holder of a roll-out's lease is suddenly gone. The roll-out must go on
+  // The holder of a rollout's lease is suddenly gone. The rollout must go on
   // elsewhere, with a higher fencing number, and never in both places.
   it('goes on elsewhere after its holder was cut off', async () => {
     const {clock, running, fencings, cut, startAll} = createFixture(3);
--- a/packages/protocol/src/fleet-messages.ts
+++ b/packages/protocol/src/fleet-messages.ts
@@ -118,9 +118,9 @@
   ageMs: shapes.milliseconds,
 });
 
-/** Counts of a roll-out's versions since one start of an instance. */
+/** Counts of a rollout's versions since one start of an instance. */
 export const orderEvidence = zod.object({
-  /** Identifies the roll-out: service and version. */
+  /** Identifies the rollout: service and version. */
   order: shapes.name,
   /** Identifies an instance and its start; its counters begin at 0 there. */
   incarnation: shapes.name,
@@ -130,16 +130,16 @@
   new: shapes.versionCounts,
 });
 
-/** An instance's progress in a roll-out. */
+/** An instance's progress in a rollout. */
 export const rolloutProgress = zod.object({
   order: shapes.name,
-  /** Time since the roll-out was requested, as far as the instance knows. */
+  /** Time since the rollout was requested, as far as the instance knows. */
   ageMs: shapes.milliseconds,
   /** Hashes of the sessions that must stay with the old version. */
   pinned: zod.array(shapes.count).max(shapes.MAX_ITEMS),
 });
 
-/** Counts of a roll-out's versions on one route, summed over all instances. */
+/** Counts of a rollout's versions on one route, summed over all instances. */
 export const evidenceSum = orderEvidence.omit({incarnation: true});
 
 /**
@@ -159,7 +159,7 @@
   rollouts: zod.array(rolloutProgress).max(shapes.MAX_ITEMS),
   /** Version of the member list that the instance has. */
   membersVersion: shapes.name,
-  /** By roll-out, the number of sessions that the watcher has sent to it. */
+  /** By rollout, the number of sessions that the watcher has sent to it. */
   pinnedKnown: zod.record(zod.string(), shapes.count),
 });
 
@@ -174,7 +174,7 @@
   /** Sums over all instances. */
   evidence: zod.array(evidenceSum).max(shapes.MAX_ITEMS),
   rollouts: zod.array(rolloutProgress).max(shapes.MAX_ITEMS),
-  /** By roll-out, the number of sessions that the watcher knows. */
+  /** By rollout, the number of sessions that the watcher knows. */
   pinnedCounts: zod.record(zod.string(), shapes.count),
 });
 
@@ -216,13 +216,13 @@
 /** One instance's load and outcome counts of one upstream. */
 export type UpstreamStats = Readonly<zod.infer<typeof upstreamStats>>;
 
-/** Counts of a roll-out's versions since one start of an instance. */
+/** Counts of a rollout's versions since one start of an instance. */
 export type OrderEvidence = Readonly<zod.infer<typeof orderEvidence>>;
 
-/** An instance's progress in a roll-out. */
+/** An instance's progress in a rollout. */
 export type RolloutProgress = Readonly<zod.infer<typeof rolloutProgress>>;
 
-/** Counts of a roll-out's versions on one route, summed over all instances. */
+/** Counts of a rollout's versions on one route, summed over all instances. */
 export type EvidenceSum = Readonly<zod.infer<typeof evidenceSum>>;
 
 /** Report of a follower to its watcher. */
--- a/packages/protocol/src/http-transport.ts
+++ b/packages/protocol/src/http-transport.ts
@@ -22,7 +22,7 @@
 
 /**
  * Size from which a message is compressed, in bytes. What instances report of
- * each other and of a roll-out repeats the same names, and compresses to a
+ * each other and of a rollout repeats the same names, and compresses to a
  * sixth.
  */
 const COMPRESSION_THRESHOLD_BYTES = 1_024;
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -170,7 +170,7 @@
       lastSequence: zod.number().int().min(-1),
     }),
   },
-  /** Fetches the receiver's counts of a roll-out's two versions. */
+  /** Fetches the receiver's counts of a rollout's two versions. */
   fetch_evidence: {
     params: zod.object({rollout: shapes.name}),
     result: zod.object({
