--- a/packages/bench/src/benches/burst.ts
+++ b/packages/bench/src/benches/burst.ts
@@ -1,4 +1,4 @@
-/** Five times capacity for 30 s: who is answered, who waits, who is refused. */
+/** Load of five times the capacity for 30 s: answers, waits and refusals. */
 import type * as figures from '../figure.js';
 import * as deployment from '../models/deployment.js';
 import type * as entryModel from '../models/entry-model.js';
@@ -9,27 +9,27 @@
 const DEADLINE_MS = 6000;
 const MAX_WAIT_MS = 2000;
 const WORKSPACES = 10;
-const LARGE = 2;
+const LARGE_WORKSPACES = 2;
 const LARGE_SHARE = 0.8;
-const BURST = 5;
-/** A burst in which small workspaces ask for less than their fair share. */
-const MILD_BURST = 3;
-const QUIET = 0.5;
-const AFTER = 0.8;
+const BURST_LOAD = 5;
+/** Load at which the small workspaces ask for less than their fair share. */
+const MILD_BURST_LOAD = 3;
+const LOAD_BEFORE = 0.5;
+const LOAD_AFTER = 0.8;
 const BURST_START_MS = 10_000;
 const BURST_END_MS = 40_000;
 const END_MS = 70_000;
 const SETTLE_MS = 3000;
-/** Share of attempts that overloaded upstreams bounce. */
+/** Fraction of attempts that overloaded upstreams reject. */
 const FAILURE_SHARE = 0.2;
-/** Times a refused caller comes back, and share of callers that do. */
-const RETURNS = 1;
+/** How often a refused caller retries at most, and how probably. */
+const MAX_RETURNS = 1;
 const RETURN_SHARE = 0.5;
 
 interface Run {
   readonly outcomes: readonly entryModel.CallerOutcome[];
   readonly capacity: number;
-  /** First attempts and retries in the burst. */
+  /** First attempts, and retries, during the burst. */
   readonly attempts: number;
   readonly retries: number;
   readonly lateWork: number;
@@ -48,20 +48,25 @@
 
 const drawWorkspace = (random: () => number): string =>
   random() < LARGE_SHARE
-    ? `large-${Math.floor(random() * LARGE)}`
-    : `small-${Math.floor(random() * (WORKSPACES - LARGE))}`;
+    ? `large-${Math.floor(random() * LARGE_WORKSPACES)}`
+    : `small-${Math.floor(random() * (WORKSPACES - LARGE_WORKSPACES))}`;
 
 const loadAt = (nowMs: number, burst: number): number => {
   if (nowMs < BURST_START_MS) {
-    return QUIET;
+    return LOAD_BEFORE;
   }
-  return nowMs < BURST_END_MS ? burst : AFTER;
+  return nowMs < BURST_END_MS ? burst : LOAD_AFTER;
 };
 
 const isInBurst = (nowMs: number): boolean =>
   nowMs >= BURST_START_MS && nowMs < BURST_END_MS;
 
-const runOnce = ({seed, isProduct, hasLarge, burst = BURST}: Mode): Run => {
+const runOnce = ({
+  seed,
+  isProduct,
+  hasLarge,
+  burst = BURST_LOAD,
+}: Mode): Run => {
   const failureShare = (nowMs: number) =>
     isInBurst(nowMs) ? FAILURE_SHARE : 0;
   const sim = new deployment.Deployment({
@@ -70,8 +75,8 @@
     ...(isProduct
       ? {}
       : {
-          createGate: deployment.createBaselineGate,
-          createChooser: deployment.createBaselineChooser,
+          createAdmission: deployment.createBaselineAdmission,
+          createPlacement: deployment.createBaselinePlacement,
           createRetrier: deployment.createBaselineRetrier,
           cancelsLateWork: false,
         }),
@@ -82,7 +87,7 @@
   sim.onOutcome = outcome => {
     const {request} = outcome;
     const times = returned.get(request.id) ?? 0;
-    const comesBack = sim.random() < RETURN_SHARE && times < RETURNS;
+    const comesBack = sim.random() < RETURN_SHARE && times < MAX_RETURNS;
     if (outcome.kind !== 'refused' || !comesBack) {
       return;
     }
@@ -102,7 +107,7 @@
     () => {
       const workspace = hasLarge
         ? drawWorkspace(sim.random)
-        : `small-${Math.floor(sim.random() * (WORKSPACES - LARGE))}`;
+        : `small-${Math.floor(sim.random() * (WORKSPACES - LARGE_WORKSPACES))}`;
       return {
         workspace,
         priority: 'interactive',
@@ -133,7 +138,10 @@
   });
   let maxQueued = 0;
   sim.time.every(100, () => {
-    const queued = sim.gates.reduce((sum, gate) => sum + gate.queued, 0);
+    const queued = sim.admissions.reduce(
+      (sum, admission) => sum + admission.queued,
+      0,
+    );
     maxQueued = Math.max(maxQueued, queued);
   });
   sim.time.runUntil(END_MS + DEADLINE_MS);
@@ -148,7 +156,7 @@
   };
 };
 
-/** Answers within their deadline a second, between two moments. */
+/** Answers per second within their deadline, in a period. */
 const goodput = (run: Run, fromMs: number, toMs: number): number =>
   run.outcomes.filter(
     o => o.kind === 'answered' && o.endedMs >= fromMs && o.endedMs < toMs,
@@ -160,12 +168,12 @@
   return burstGoodput({...run, outcomes: small});
 };
 
-/** Share of the slots' work, as bounced attempts take none. */
+/** Goodput in the burst over capacity; rejected attempts use no slots. */
 const burstGoodput = (run: Run): number =>
   goodput(run, BURST_START_MS + SETTLE_MS, BURST_END_MS) / run.capacity;
 
 const afterGoodput = (run: Run): number =>
-  goodput(run, BURST_END_MS + SETTLE_MS, END_MS) / (run.capacity * AFTER);
+  goodput(run, BURST_END_MS + SETTLE_MS, END_MS) / (run.capacity * LOAD_AFTER);
 
 const smallWaitP99 = (run: Run): number =>
   statistics.percentile(
@@ -192,7 +200,7 @@
 const refusalDelays = (run: Run): readonly number[] =>
   run.outcomes.filter(o => o.kind === 'refused').map(o => o.totalMs);
 
-/** The lunch-hour burst. */
+/** Compares the product with the baseline, and with small workspaces alone. */
 export const bench: figures.Bench = {
   summary: '5 times capacity for 30 s, two workspaces with 80% of it',
   run: seed => {
@@ -203,16 +211,18 @@
       seed,
       isProduct: true,
       hasLarge: true,
-      burst: MILD_BURST,
+      burst: MILD_BURST_LOAD,
     });
     const mildAlone = runOnce({
       seed,
       isProduct: true,
       hasLarge: false,
-      burst: MILD_BURST,
+      burst: MILD_BURST_LOAD,
     });
     const refused = product.outcomes.filter(o => o.kind === 'refused');
-    const told = refused.filter(o => (o.retryAfterMs ?? 0) > 0).length;
+    const withRetryAfter = refused.filter(
+      o => (o.retryAfterMs ?? 0) > 0,
+    ).length;
     return Promise.resolve([
       {
         figure: 'goodput_in_burst',
@@ -304,7 +314,7 @@
       },
       {
         figure: 'refused_with_retry_after',
-        value: told / Math.max(1, refused.length),
+        value: withRetryAfter / Math.max(1, refused.length),
         unit: 'of refused',
         target: 1,
         direction: 'at_least',
--- a/packages/bench/src/benches/cascade.ts
+++ b/packages/bench/src/benches/cascade.ts
@@ -1,7 +1,7 @@
 /**
- * Cost of cascades at each workspace's quality: ten workspaces with unlike
- * kinds of task, ratings sampled at a tenth, late, a fifth of them missing,
- * and models that drift half way.
+ * Cost of cascades at each workspace's quality target: ten workspaces with
+ * different kinds of task. A tenth of the answers is sampled for rating; ratings
+ * come late and a fifth is missing. The models drift half way.
  */
 import * as heap from 'heap-js';
 import * as decisions from '@amaranthknot/decisions';
@@ -13,16 +13,17 @@
 
 const WORKSPACES = 10;
 /**
- * Requests of one task in one half: a workspace asks 450,000 in all, a day at
- * five a second. Learning is paid for once, so fewer would cost more each.
+ * Requests of one task in one half of the run. A workspace makes 450,000 in all,
+ * a day at five a second. Learning has a fixed cost, so with fewer requests the
+ * cost of each would be higher.
  */
 const REQUESTS = 75_000;
-const RATED = 0.1;
-const MISSING = 0.2;
-/** Mean lateness of a rating, in requests of its workspace. */
-const LATENESS = 300;
+const RATING_RATE = 0.1;
+const MISSING_RATINGS = 0.2;
+/** Mean delay of a rating, in requests of its workspace. */
+const MEAN_RATING_DELAY = 300;
 /** Half width of a 95% interval, in standard errors. */
-const INTERVAL = 1.96;
+const INTERVAL_HALF_WIDTH = 1.96;
 const LAST = workload.STAGES.length - 1;
 
 interface Result {
@@ -38,20 +39,23 @@
 
 const compareLate = (a: LateRating, b: LateRating): number => a.at - b.at;
 
-const addUp = (outcomes: readonly oracle.Outcome[], count: number): Result => ({
+const sumOutcomes = (
+  outcomes: readonly oracle.Outcome[],
+  count: number,
+): Result => ({
   cost: outcomes.reduce((sum, outcome) => sum + outcome.cost, 0),
   good: outcomes.reduce((sum, outcome) => sum + outcome.good, 0),
   count,
 });
 
-/** Lower end of the share of good answers above the target. */
-const findSlack = (result: Result, target: number): number => {
+/** Lower confidence bound of the share of good answers, less the target. */
+const findQualitySlack = (result: Result, target: number): number => {
   const share = result.good / result.count;
   const error = Math.sqrt((share * (1 - share)) / result.count);
-  return share - INTERVAL * error - target;
+  return share - INTERVAL_HALF_WIDTH * error - target;
 };
 
-/** Runs the learning policy through one half of a workspace's requests. */
+/** Serves one half of a workspace's requests by the learning policy. */
 const serveHalf = (
   policy: decisions.CascadePolicy,
   load: workload.WorkspaceLoad,
@@ -93,8 +97,8 @@
       }
       const rating = run.good[row + stage] ?? 0;
       good += rating;
-      if (random() < RATED * (1 - MISSING)) {
-        const at = i + seededRandom.drawExponential(random, LATENESS);
+      if (random() < RATING_RATE * (1 - MISSING_RATINGS)) {
+        const at = i + seededRandom.drawExponential(random, MEAN_RATING_DELAY);
         late.push({at, rating: {...answer, rating}});
       }
       break;
@@ -130,17 +134,17 @@
   const runs = halves.flat();
   const count = runs.length * REQUESTS;
   const replayAll = (fixed: oracle.FixedPolicy): Result =>
-    addUp(
+    sumOutcomes(
       runs.map(run => oracle.replay(run, fixed)),
       count,
     );
   return {
     load,
-    learned: addUp(
+    learned: sumOutcomes(
       halves.map(half => serveHalf(policy, load, half, random)),
       count,
     ),
-    best: addUp([oracle.findBestOutcome(runs, load.target)], count),
+    best: sumOutcomes([oracle.findBestOutcome(runs, load.target)], count),
     capable: replayAll({startStage: LAST, thresholds: []}),
     cheapest: replayAll({startStage: 0, thresholds: [0]}),
     fixed: replayAll({startStage: 0, thresholds: [0.7, 0.7]}),
@@ -155,9 +159,10 @@
 const listSlacks = (
   all: readonly Comparison[],
   policy: Policy,
-): readonly number[] => all.map(one => findSlack(one[policy], one.load.target));
+): readonly number[] =>
+  all.map(one => findQualitySlack(one[policy], one.load.target));
 
-const countShort = (all: readonly Comparison[], policy: Policy): number =>
+const countBelowTarget = (all: readonly Comparison[], policy: Policy): number =>
   listSlacks(all, policy).filter(slack => slack < 0).length;
 
 const report = (all: readonly Comparison[]): readonly figures.Figure[] => {
@@ -167,7 +172,7 @@
   const fixed = sumCost(all, 'fixed');
   const short = (policy: Policy): figures.Figure => ({
     figure: `workspaces_short_${policy}`,
-    value: countShort(all, policy),
+    value: countBelowTarget(all, policy),
     unit: 'workspaces',
   });
   return [
@@ -175,7 +180,7 @@
       ...short('learned'),
       target: 0,
       direction: 'at_most',
-      baseline: countShort(all, 'fixed'),
+      baseline: countBelowTarget(all, 'fixed'),
     },
     {
       figure: 'quality_slack_least',
@@ -217,7 +222,7 @@
   ];
 };
 
-/** See the module. */
+/** Compares the learning policy with fixed ones and the best in hindsight. */
 export const bench: figures.Bench = {
   summary: 'cost of cascades at each workspace quality, under drift',
   run(seed) {
--- a/packages/bench/src/benches/copies.ts
+++ b/packages/bench/src/benches/copies.ts
@@ -1,6 +1,7 @@
 /**
- * Copies of pending bills under a day's failures and restarts: replicas kept
- * while they live against replicas that follow the ranking of peers.
+ * Copies of pending bills during a day of failures and restarts. Compares
+ * replicas that are kept while they are alive with replicas that always follow
+ * the ranking of peers.
  */
 import * as ledger from '@amaranthknot/ledger';
 import type * as figures from '../figure.js';
@@ -11,15 +12,15 @@
 const FAILURES_A_DAY = 87;
 const RESTARTS_A_DAY = 1_200;
 const DAY_MS = 86_400_000;
-/** A place in the fleet is filled again after this time. */
-const AWAY_MS = 60_000;
+/** Time until a new instance takes the place of one that left. */
+const REPLACEMENT_DELAY_MS = 60_000;
 const QUORUM = ledger.DEFAULT_BILL_LIMITS.copyQuorum;
 const BILLS_A_SECOND = 15;
-/** Half a flush interval of bills is pending on average. */
+/** Mean number of pending bills: those of half a flush interval. */
 const PENDING =
   (BILLS_A_SECOND * ledger.DEFAULT_BILL_LIMITS.flushIntervalMs) / 1_000 / 2;
 
-/** A place in the fleet; it keeps its rank when it is filled again. */
+/** A place in the fleet; successive instances in it have the same rank. */
 interface Place {
   readonly zone: string;
   incarnation: number;
@@ -27,13 +28,13 @@
   replicas: readonly string[];
 }
 
-/** For each owner the places in other zones, best-ranked first. */
+/** For each owner the places in other zones, best first. */
 type Ranking = readonly (readonly number[])[];
 
-/** Best-ranked places looked at for an owner; far more than ever needed. */
-const RANKED = 24;
+/** Places ranked for each owner; far more than are ever needed. */
+const RANKED_PLACES = 24;
 
-/** Scores a place for an owner by a hash of the pair (rendezvous). */
+/** Rendezvous hash of an owner and a place; the lowest is the best. */
 const score = (owner: number, place: number): number => {
   const pair =
     Math.imul(owner + 1, 0x9e3779b1) ^ Math.imul(place + 1, 0x85ebca6b);
@@ -47,7 +48,7 @@
     .filter(place => place % ZONES !== owner % ZONES)
     .map(place => ({place, score: score(owner, place)}))
     .sort((a, b) => a.score - b.score)
-    .slice(0, RANKED)
+    .slice(0, RANKED_PLACES)
     .map(entry => entry.place);
 
 const rankAll = (): Ranking =>
@@ -55,7 +56,7 @@
 
 class Fleet {
   changes = 0;
-  /** Replicas filled anew; each takes all pending bills of one owner. */
+  /** New replicas; each is sent all pending bills of one owner. */
   recopies = 0;
   private readonly places: readonly Place[];
 
@@ -73,7 +74,7 @@
     this.recopies = 0;
   }
 
-  /** An instance fails, or leaves with its own bills written. */
+  /** Removes an instance that fails, or that restarts with its bills written. */
   leave(index: number): void {
     const place = this.places[index];
     if (place?.live) {
@@ -83,7 +84,7 @@
     }
   }
 
-  /** A new instance fills the place; its first copies are no recopies. */
+  /** Fills a place with a new instance; its own first replicas don't count. */
   join(index: number): void {
     const place = this.places[index];
     if (place && !place.live) {
@@ -129,7 +130,7 @@
   readonly joins: boolean;
 }
 
-/** One day's failures and restarts at random moments. */
+/** Draws the failures and restarts of one day. */
 const drawChanges = (random: () => number): readonly Change[] => {
   const meanMs = DAY_MS / (FAILURES_A_DAY + RESTARTS_A_DAY);
   const changes: Change[] = [];
@@ -137,7 +138,7 @@
   while (atMs < DAY_MS) {
     const place = Math.floor(random() * INSTANCES);
     changes.push({atMs, place, joins: false});
-    changes.push({atMs: atMs + AWAY_MS, place, joins: true});
+    changes.push({atMs: atMs + REPLACEMENT_DELAY_MS, place, joins: true});
     atMs += seededRandom.drawExponential(random, meanMs);
   }
   return changes.sort((a, b) => a.atMs - b.atMs);
@@ -174,32 +175,35 @@
   return Buffer.byteLength(JSON.stringify({lane, bill}));
 };
 
-const describe = (loose: Fleet, tight: Fleet): readonly figures.Figure[] => {
+const reportFigures = (
+  sticky: Fleet,
+  ranked: Fleet,
+): readonly figures.Figure[] => {
   const bytes = measureBillBytes();
   const toRate = (recopies: number) =>
     (recopies * PENDING * bytes) / (DAY_MS / 1_000) / INSTANCES;
   return [
     {
       figure: 'membership_changes_a_day',
-      value: loose.changes,
+      value: sticky.changes,
       unit: 'changes',
     },
     {
       figure: 'replicas_filled_anew_a_day',
-      value: loose.recopies,
-      baseline: tight.recopies,
+      value: sticky.recopies,
+      baseline: ranked.recopies,
       unit: 'replicas',
     },
     {
       figure: 'bills_copied_anew_a_day',
-      value: loose.recopies * PENDING,
-      baseline: tight.recopies * PENDING,
+      value: sticky.recopies * PENDING,
+      baseline: ranked.recopies * PENDING,
       unit: 'bills',
     },
     {
       figure: 'bytes_copied_anew_per_node',
-      value: toRate(loose.recopies),
-      baseline: toRate(tight.recopies),
+      value: toRate(sticky.recopies),
+      baseline: toRate(ranked.recopies),
       unit: 'bytes/s',
     },
     {figure: 'bytes_per_copied_bill', value: bytes, unit: 'bytes'},
@@ -213,14 +217,14 @@
   ];
 };
 
-/** The bench `copies`. */
+/** Runs both ways of replica selection through the same day. */
 export const bench: figures.Bench = {
   summary: 'copies of pending bills made by failures and restarts of a day',
   run: seed => {
     const changes = drawChanges(seededRandom.createRandom(seed));
     const ranking = rankAll();
-    const loose = runFleet(ranking, changes, ledger.selectStickyReplicas);
-    const tight = runFleet(ranking, changes, ledger.selectRankedReplicas);
-    return Promise.resolve(describe(loose, tight));
+    const sticky = runFleet(ranking, changes, ledger.selectStickyReplicas);
+    const ranked = runFleet(ranking, changes, ledger.selectRankedReplicas);
+    return Promise.resolve(reportFigures(sticky, ranked));
   },
 };
--- a/packages/bench/src/benches/ledger.ts
+++ b/packages/bench/src/benches/ledger.ts
@@ -1,6 +1,6 @@
 /**
- * Calls of claims and bills to the object API: per request by kind, and when
- * the platform returns after ten minutes.
+ * Calls of claims and bills to the object API: for each kind of request, and
+ * when the platform returns after an outage of ten minutes.
  */
 import * as fakes from '@amaranthknot/fakes';
 import * as ledger from '@amaranthknot/ledger';
@@ -12,7 +12,7 @@
 const STEADY_MS = 300_000;
 const OUTAGE_MS = 600_000;
 const DRAIN_MS = 300_000;
-/** One bill a second stands for 15; segments shrink by as much. */
+/** One bill per second represents 15; segments are smaller in proportion. */
 const BILL_INTERVAL_MS = SECOND_MS;
 const SEGMENT_BILLS = Math.round(
   ledger.DEFAULT_BILL_LIMITS.maxSegmentBills / 15,
@@ -21,7 +21,7 @@
 
 const ANSWER: ledger.ClaimOutcome = {kind: 'answer', status: 200, body: 'ok'};
 
-/** Runs a promise on the virtual clock. */
+/** Advances the virtual clock until a promise is settled. */
 const settle = async <T>(
   clock: fakes.VirtualClock,
   promise: Promise<T>,
@@ -40,7 +40,7 @@
 const countReads = (store: fakes.MemoryObjectStore): number =>
   store.calls.get + store.calls.list;
 
-/** One kind of request with what its claim meets. */
+/** A kind of request, and the fault that its claim meets. */
 interface ClaimCase {
   readonly name: string;
   readonly fault?: fakes.StoreFault;
@@ -56,19 +56,19 @@
 ];
 
 const runClaim = async (
-  keeper: ledger.ClaimLedger,
+  claims: ledger.ClaimLedger,
   key: string,
   isAbandoned: boolean,
 ): Promise<void> => {
   const identity = ledger.identifyRequest('rosters', key, '');
-  const result = await keeper.claim(identity, 'body');
+  const result = await claims.claim(identity, 'body');
   if (result.kind !== 'granted') {
     return;
   }
   if (isAbandoned) {
-    await keeper.abandon(result.claim);
+    await claims.abandon(result.claim);
   } else {
-    await keeper.finish(result.claim, ANSWER);
+    await claims.finish(result.claim, ANSWER);
   }
 };
 
@@ -79,7 +79,7 @@
   const clock = new fakes.VirtualClock();
   const store = new fakes.MemoryObjectStore({clock});
   let tokens = 0;
-  const keeper = new ledger.ClaimLedger({
+  const claims = new ledger.ClaimLedger({
     store,
     clock,
     random,
@@ -94,7 +94,7 @@
           ? (claimCase.fault ?? 'none')
           : 'none';
       const isAbandoned = claimCase.isAbandoned ?? false;
-      await settle(clock, runClaim(keeper, `key-${i}`, isAbandoned));
+      await settle(clock, runClaim(claims, `key-${i}`, isAbandoned));
     }
   };
   await runAll();
@@ -117,21 +117,21 @@
   ];
 };
 
-/** Creates by second, over all instances. */
-class Creates {
+/** Counts the creates of all instances by second. */
+class CreateCounter {
   readonly bySecond: number[] = [];
 
   constructor(private readonly clock: fakes.VirtualClock) {}
 
-  note(operation: fakes.StoreOperation): void {
+  record(operation: fakes.StoreOperation): void {
     if (operation === 'create') {
       const second = Math.floor(this.clock.now() / SECOND_MS);
       this.bySecond[second] = (this.bySecond[second] ?? 0) + 1;
     }
   }
 
-  /** Counts of the seconds from `fromMs` to `toMs`. */
-  between(fromMs: number, toMs: number): readonly number[] {
+  /** Counts of each second from `fromMs` up to, but not including, `toMs`. */
+  countsBetween(fromMs: number, toMs: number): readonly number[] {
     return Array.from(
       {length: (toMs - fromMs) / SECOND_MS},
       (_, i) => this.bySecond[fromMs / SECOND_MS + i] ?? 0,
@@ -143,7 +143,7 @@
   values.reduce((total, value) => total + value, 0) / values.length;
 
 const startInstance = (
-  world: {
+  dependencies: {
     readonly clock: fakes.VirtualClock;
     readonly store: fakes.MemoryObjectStore;
     readonly random: () => number;
@@ -151,28 +151,28 @@
   index: number,
   stops: AbortController[],
 ): ledger.BillLedger => {
-  const keeper = new ledger.BillLedger({
-    ...world,
+  const bills = new ledger.BillLedger({
+    ...dependencies,
     incarnation: `instance-${index}`,
     copyToPeers: () => Promise.resolve(2),
     limits: {maxSegmentBills: SEGMENT_BILLS},
   });
   const stop = new AbortController();
   stops.push(stop);
-  void keeper.run(stop.signal);
-  return keeper;
+  void bills.run(stop.signal);
+  return bills;
 };
 
 const recordBills = async (
   clock: fakes.VirtualClock,
-  keepers: readonly ledger.BillLedger[],
+  ledgers: readonly ledger.BillLedger[],
   ms: number,
 ): Promise<number> => {
   let recorded = 0;
   for (let at = 0; at < ms; at += BILL_INTERVAL_MS) {
-    for (const [i, keeper] of keepers.entries()) {
+    for (const [i, bills] of ledgers.entries()) {
       recorded++;
-      void keeper.record({
+      void bills.record({
         identity: `${i}-${clock.now()}`,
         workspace: 'rosters',
         model: 'capable',
@@ -191,31 +191,31 @@
   random: () => number,
 ): Promise<readonly figures.Figure[]> => {
   const clock = new fakes.VirtualClock();
-  const creates = new Creates(clock);
-  let out = false;
+  const creates = new CreateCounter(clock);
+  let isOut = false;
   const store = new fakes.MemoryObjectStore({
     clock,
     delayMs: () => 3,
     fault: operation => {
-      creates.note(operation);
-      return out ? 'down' : 'none';
+      creates.record(operation);
+      return isOut ? 'down' : 'none';
     },
   });
   const stops: AbortController[] = [];
-  const keepers = Array.from({length: INSTANCES}, (_, i) =>
+  const ledgers = Array.from({length: INSTANCES}, (_, i) =>
     startInstance({clock, store, random}, i, stops),
   );
-  let recorded = await recordBills(clock, keepers, STEADY_MS);
-  out = true;
-  recorded += await recordBills(clock, keepers, OUTAGE_MS);
-  out = false;
-  recorded += await recordBills(clock, keepers, DRAIN_MS);
+  let recorded = await recordBills(clock, ledgers, STEADY_MS);
+  isOut = true;
+  recorded += await recordBills(clock, ledgers, OUTAGE_MS);
+  isOut = false;
+  recorded += await recordBills(clock, ledgers, DRAIN_MS);
   await clock.advance(60_000);
   stops.forEach(stop => stop.abort());
   const returned = STEADY_MS + OUTAGE_MS;
-  // The first half minute is left out: instances start together there.
-  const steady = mean(creates.between(30_000, STEADY_MS));
-  const after = creates.between(returned, returned + DRAIN_MS);
+  // Leaves out the first half minute, because all instances start at once.
+  const steady = mean(creates.countsBetween(30_000, STEADY_MS));
+  const after = creates.countsBetween(returned, returned + DRAIN_MS);
   const summary = await settle(clock, ledger.readBills(store));
   const billed = summary.map(({bills}) => bills.length).orDefault(0);
   const duplicates = summary.map(found => found.duplicates).orDefault(-1);
@@ -228,7 +228,7 @@
     {
       figure: 'peak_after_outage',
       value: Math.max(...after) / steady,
-      baseline: Math.max(...creates.between(30_000, STEADY_MS)) / steady,
+      baseline: Math.max(...creates.countsBetween(30_000, STEADY_MS)) / steady,
       unit: 'x steady',
       target: 2,
       direction: 'at_most',
@@ -250,7 +250,7 @@
   ];
 };
 
-/** The bench `ledger`. */
+/** Measures calls for claims and bills, and bills lost or duplicated. */
 export const bench: figures.Bench = {
   summary: 'calls of claims and bills to the object API, also after an outage',
   run: async seed => {
--- a/packages/bench/src/benches/mix.ts
+++ b/packages/bench/src/benches/mix.ts
@@ -1,4 +1,4 @@
-/** 5% long work, 95% short, door checks among them. */
+/** Mixed load: 5% long requests, 95% short ones, including door checks. */
 import type * as decisions from '@amaranthknot/decisions';
 import type * as figures from '../figure.js';
 import * as deployment from '../models/deployment.js';
@@ -13,7 +13,7 @@
 const DOOR_CHECK_SHARE = 0.1;
 const DEADLINE_MS = 60_000;
 const DOOR_CHECK_DEADLINE_MS = 5000;
-/** Work offered over what the slots can do. */
+/** Offered load as a ratio to the capacity of all slots. */
 const LOAD = 0.9;
 const OVERLOAD = 1.3;
 const WARM_UP_MS = 30_000;
@@ -72,8 +72,8 @@
     ...(mode.isProduct
       ? {}
       : {
-          createGate: deployment.createBaselineGate,
-          createChooser: deployment.createBaselineChooser,
+          createAdmission: deployment.createBaselineAdmission,
+          createPlacement: deployment.createBaselinePlacement,
         }),
   });
   const rate = (mode.load * sim.slots * 1000) / MEAN_MS;
@@ -103,7 +103,7 @@
 ): readonly entryModel.CallerOutcome[] =>
   outcomes.filter(o => o.request.priority === priority);
 
-/** A refused door check counts with its deadline, not as a quick answer. */
+/** p99 latency; a refused request counts with its deadline. */
 const p99 = (
   outcomes: readonly entryModel.CallerOutcome[],
   priority: decisions.AdmissionPriority,
@@ -157,7 +157,7 @@
   ]),
 ];
 
-/** Long and short work mixed. */
+/** Compares the product with the baseline, busy and overloaded. */
 export const bench: figures.Bench = {
   summary: '5% long work, 95% short, door checks among them',
   run: seed => {
--- a/packages/bench/src/benches/overhead.ts
+++ b/packages/bench/src/benches/overhead.ts
@@ -1,7 +1,8 @@
 /**
- * What one entry instance adds. Caller, instance and engine share a process,
- * for the product starts none: the CPU time of the instance's work is that of
- * the way through it less that of the direct way to the same engine.
+ * Latency and CPU time that one entry instance adds. Caller, instance and engine
+ * share a process, because the product starts no other: the CPU time of the
+ * instance is that of requests through it less that of direct requests to the
+ * same engine.
  */
 import type * as figures from '../figure.js';
 import * as statistics from '../models/statistics.js';
@@ -17,11 +18,11 @@
 const PLAIN_CALLERS = 32;
 const PLAIN_REQUESTS = 3_000;
 
-/** Each token of a stream travels alone, as an engine sends it. */
+/** Time between tokens; each is sent on its own, as an engine does. */
 const TOKEN_MS = 10;
 const STREAMS = 48;
 const STREAM_REQUESTS = 800;
-/** Events of a stream that carry no token: its end, and the mark after it. */
+/** Events of a stream without a token: the last chunk and the end mark. */
 const END_EVENTS = 2;
 
 const TARGET_MEDIAN_MS = 1;
@@ -32,24 +33,24 @@
 const sum = (values: readonly number[]): number =>
   values.reduce((total, value) => total + value, 0);
 
-const latencies = (runs: readonly load.Run[]): readonly number[] =>
+const latencies = (runs: readonly load.LoadRun[]): readonly number[] =>
   runs.flatMap(run => run.replies.map(reply => reply.latencyMs));
 
 const warmUp = async (
-  setup: overheadSetup.Setup,
+  setup: overheadSetup.OverheadSetup,
   callers: number,
 ): Promise<void> => {
-  await load.driveClosed(setup.direct, callers, WARM_UP);
-  await load.driveClosed(setup.entry, callers, WARM_UP);
+  await load.driveClosedLoop(setup.direct, callers, WARM_UP);
+  await load.driveClosedLoop(setup.entry, callers, WARM_UP);
 };
 
-/** Takes turns, so that a busy moment of the machine meets both ways. */
+/** Alternates direct and entry, so that other load on the machine hits both. */
 const alternate = async (
-  setup: overheadSetup.Setup,
-  drive: (target: caller.Caller) => Promise<load.Run>,
+  setup: overheadSetup.OverheadSetup,
+  drive: (target: caller.Caller) => Promise<load.LoadRun>,
 ) => {
-  const direct: load.Run[] = [];
-  const entry: load.Run[] = [];
+  const direct: load.LoadRun[] = [];
+  const entry: load.LoadRun[] = [];
   for (let round = 0; round < ROUNDS; round++) {
     direct.push(await drive(setup.direct));
     entry.push(await drive(setup.entry));
@@ -58,12 +59,12 @@
 };
 
 const measureLatency = async (
-  setup: overheadSetup.Setup,
+  setup: overheadSetup.OverheadSetup,
 ): Promise<readonly figures.Figure[]> => {
   const {direct, entry} = await alternate(setup, target =>
     load.driveAtRate(target, RATE, LATENCY_REQUESTS),
   );
-  const pick = (runs: readonly load.Run[], at: number): number =>
+  const pick = (runs: readonly load.LoadRun[], at: number): number =>
     statistics.percentile(latencies(runs), at);
   const added = (at: number): number => pick(entry, at) - pick(direct, at);
   return [
@@ -86,26 +87,26 @@
   ];
 };
 
-/** CPU time in milliseconds per unit of work, of all runs together. */
+/** CPU time per unit of work over all runs, in milliseconds. */
 const cpuPer = (
-  runs: readonly load.Run[],
+  runs: readonly load.LoadRun[],
   unitsOf: (reply: caller.Reply) => number,
 ): number =>
   sum(runs.map(run => run.cpuMs)) /
   sum(runs.flatMap(run => run.replies.map(unitsOf)));
 
 const ratePer = (
-  runs: readonly load.Run[],
+  runs: readonly load.LoadRun[],
   unitsOf: (reply: caller.Reply) => number,
 ): number =>
   sum(runs.flatMap(run => run.replies.map(unitsOf))) /
   sum(runs.map(run => run.seconds));
 
 const measurePlain = async (
-  setup: overheadSetup.Setup,
+  setup: overheadSetup.OverheadSetup,
 ): Promise<readonly figures.Figure[]> => {
   const {direct, entry} = await alternate(setup, target =>
-    load.driveClosed(target, PLAIN_CALLERS, PLAIN_REQUESTS / ROUNDS),
+    load.driveClosedLoop(target, PLAIN_CALLERS, PLAIN_REQUESTS / ROUNDS),
   );
   const one = () => 1;
   const cpuMs = cpuPer(entry, one) - cpuPer(direct, one);
@@ -128,10 +129,10 @@
 };
 
 const measureStreams = async (
-  setup: overheadSetup.Setup,
+  setup: overheadSetup.OverheadSetup,
 ): Promise<readonly figures.Figure[]> => {
   const {direct, entry} = await alternate(setup, target =>
-    load.driveClosed(target, STREAMS, STREAM_REQUESTS / ROUNDS),
+    load.driveClosedLoop(target, STREAMS, STREAM_REQUESTS / ROUNDS),
   );
   const tokens = (reply: caller.Reply) => reply.events - END_EVENTS;
   const cpuMs = cpuPer(entry, tokens) - cpuPer(direct, tokens);
@@ -157,7 +158,7 @@
   options: Parameters<typeof overheadSetup.startSetup>[0],
   callers: number,
   measures: readonly ((
-    setup: overheadSetup.Setup,
+    setup: overheadSetup.OverheadSetup,
   ) => Promise<readonly figures.Figure[]>)[],
 ): Promise<readonly figures.Figure[]> => {
   const setup = await overheadSetup.startSetup(options);
@@ -170,7 +171,7 @@
   return found;
 };
 
-/** What a caller and a core pay for the way through an entry instance. */
+/** Measures added latency, and requests and tokens per core. */
 export const bench: figures.Bench = {
   summary: 'one entry instance against direct to the same stand-in engine',
   run: async () => [
--- a/packages/bench/src/benches/platform-calls.ts
+++ b/packages/bench/src/benches/platform-calls.ts
@@ -1,4 +1,4 @@
-/** Calls to the object API of a deployment of today's size, by kind. */
+/** Counts the calls of a deployment of today's size to the object API by kind. */
 import type * as configuration from '@amaranthknot/configuration';
 import * as membership from '@amaranthknot/membership';
 import type * as figures from '../figure.js';
@@ -10,22 +10,26 @@
 const INSTANCES = 7;
 const ZONES = ['a', 'b', 'c', 'd'];
 
-const WARM_MS = 15_000;
+const WARM_UP_MS = 15_000;
 const IDLE_MS = 30_000;
 const LOAD_MS = 40_000;
 const ROLLOUT_MS = 30_000;
 const OUTAGE_MS = 60_000;
 const AFTER_MS = 30_000;
 
-/** Requests a second in the lunch hour, and those that must run once. */
+/** Requests per second at the daily peak, and the share that must run once. */
 const REQUESTS_PER_S = 60;
 const CLAIMED_SHARE = 0.05;
 
-/** Time between steps of a roll-out, each a change of the document. */
+/** Time between the steps of a rollout; each step changes the document. */
 const STEP_MS = 5_000;
 
-/** Bound on any second after an outage, as a multiple of the steady rate. */
-const STAMPEDE = 2;
+/**
+ * Bound on the calls in any second of and after an outage, as a ratio to the
+ * steady rate. It excludes that all instances call at once when the platform
+ * returns.
+ */
+const MAX_PEAK_RATIO = 2;
 
 interface Phase {
   readonly name: string;
@@ -39,7 +43,7 @@
   seconds.reduce((sum, second) => sum + callCounter.sumSecond(second), 0) /
   seconds.length;
 
-/** Runs the phases one after the other. */
+/** A deployment that is taken through one phase after the other. */
 class Scenario {
   readonly deployment: virtualDeployment.VirtualDeployment;
   private document = sampleDocument.createSampleDocument();
@@ -48,11 +52,11 @@
     this.deployment = new virtualDeployment.VirtualDeployment(random, ZONES);
   }
 
-  async begin(): Promise<void> {
+  async start(): Promise<void> {
     this.publish(this.document);
     await this.deployment.clock.advance(1_000);
     this.deployment.start(INSTANCES);
-    await this.deployment.clock.advance(WARM_MS - 1_000);
+    await this.deployment.clock.advance(WARM_UP_MS - 1_000);
   }
 
   async idle(name: string, ms: number): Promise<Phase> {
@@ -70,10 +74,10 @@
     const {clock, counter} = this.deployment;
     const from = clock.now();
     await run();
-    return {name, seconds: counter.between(from, clock.now())};
+    return {name, seconds: counter.countsBetween(from, clock.now())};
   }
 
-  /** Sends requests, and changes the document each `changeMs`. */
+  /** Sends requests, and changes the document every `changeMs`. */
   private async drive(ms: number, changeMs: number): Promise<void> {
     const {deployment, random} = this;
     const steps = (ms / 1_000) * REQUESTS_PER_S;
@@ -108,12 +112,13 @@
   })),
 ];
 
+/** Compares calls when idle, under load, in a rollout and around an outage. */
 export const bench: figures.Bench = {
   summary: 'calls to the object API by kind: idle, load, roll-out, outage',
   run: async seed => {
     const scenario = new Scenario(seededRandom.createRandom(seed));
     const {deployment} = scenario;
-    await scenario.begin();
+    await scenario.start();
     const idle = await scenario.idle('idle', IDLE_MS);
     const load = await scenario.load('load', LOAD_MS);
     const rollout = await scenario.load('rollout', ROLLOUT_MS, STEP_MS);
@@ -131,7 +136,7 @@
         value: peakOf(outage) / steady,
         unit: 'ratio',
         baseline: peakOf(load) / steady,
-        target: STAMPEDE,
+        target: MAX_PEAK_RATIO,
         direction: 'at_most',
       },
       {
@@ -139,7 +144,7 @@
         value: peakOf(after) / steady,
         unit: 'ratio',
         baseline: peakOf(load) / steady,
-        target: STAMPEDE,
+        target: MAX_PEAK_RATIO,
         direction: 'at_most',
       },
     ];
--- a/packages/bench/src/benches/relay.ts
+++ b/packages/bench/src/benches/relay.ts
@@ -1,4 +1,4 @@
-/** How fast and at what cost a configuration change reaches all instances. */
+/** Measures how fast, and at what cost, a configuration change spreads. */
 import type * as configuration from '@amaranthknot/configuration';
 import * as membership from '@amaranthknot/membership';
 import * as ports from '@amaranthknot/ports';
@@ -8,41 +8,41 @@
 import * as statistics from '../models/statistics.js';
 import * as seededRandom from '@amaranthknot/fakes';
 
-/** Fleets that are run, and the one that is extrapolated to. */
+/** Fleet sizes that are run, and the one that results are extrapolated to. */
 const SIZES = [
   {instances: 7, zones: 4},
   {instances: 50, zones: 9},
   {instances: 200, zones: 9},
 ] as const;
-const DESIGN = {instances: 1_000, zones: 9} as const;
+const DESIGN_SIZE = {instances: 1_000, zones: 9} as const;
 
-/** Changes each second of the design: 91,000 a day. */
+/** Changes per second that the design is for: 91,000 a day. */
 const CHANGES_PER_S = 1.05;
-const LONE_CHANGES = 2;
-const LONE_GAP_MS = 2_000;
+const SINGLE_CHANGES = 2;
+const SINGLE_CHANGE_GAP_MS = 2_000;
 const STREAM_MS = 5_000;
 const SAMPLE_MS = 100;
 
-/** Targets of the brief and the letter. */
-const LAST_TODAY_S = 3;
-const LAST_DESIGN_S = 17;
-const BYTES_PER_S = 4_096;
-const CORE_SHARE = 0.032;
+/** Targets for the time to all instances, traffic and CPU use of an instance. */
+const MAX_SPREAD_TODAY_S = 3;
+const MAX_SPREAD_DESIGN_S = 17;
+const MAX_BYTES_PER_S = 4_096;
+const MAX_CORE_SHARE = 0.032;
 
 interface Outcome {
   readonly instances: number;
   readonly watchers: number;
-  /** Times to the last instance, in seconds. */
-  readonly loneS: readonly number[];
+  /** Times until all instances have a change, in seconds. */
+  readonly singleS: readonly number[];
   readonly streamS: readonly number[];
-  /** Bytes sent and received by a node between instances, a second. */
+  /** Bytes per second that an instance sends to and receives from peers. */
   readonly peerBytes: number;
-  /** Bytes between the platform and the node that uses it most, a second. */
+  /** Bytes per second between the platform and its heaviest user. */
   readonly platformBytes: number;
   readonly callsPerChange: number;
   readonly idleCalls: number;
   readonly coreShare: number;
-  /** Highest age of a confirmation seen, as a share of the bound. */
+  /** Highest age of a confirmation, as a fraction of the bound. */
   readonly ageShare: number;
 }
 
@@ -54,7 +54,7 @@
 const totalCalls = (fleet: relayFleet.RelayFleet): number =>
   Object.values(fleet.store.calls).reduce((sum, calls) => sum + calls, 0);
 
-/** Publishes changes and notes when each was accepted. */
+/** Publishes changes and records when each was accepted. */
 class Operator {
   readonly acceptedAt = new Map<number, number>();
 
@@ -75,23 +75,23 @@
     this.acceptedAt.set(generation, systemClock.now());
   }
 
-  /** Times to the last instance, in seconds; of changes that reached all. */
-  timesToLast(generations: readonly number[]): readonly number[] {
+  /** Times until all instances had each change, in seconds; Infinity if not. */
+  timesToAll(generations: readonly number[]): readonly number[] {
     return generations.map(generation => {
-      const last = this.fleet.lastAt(generation) ?? Infinity;
+      const last = this.fleet.appliedByAllAt(generation) ?? Infinity;
       return (last - (this.acceptedAt.get(generation) ?? 0)) / 1_000;
     });
   }
 }
 
-const changeAlone = async (operator: Operator): Promise<void> => {
-  for (let i = 0; i < LONE_CHANGES; i++) {
+const publishSingleChanges = async (operator: Operator): Promise<void> => {
+  for (let i = 0; i < SINGLE_CHANGES; i++) {
     await operator.change();
-    await systemClock.sleep(LONE_GAP_MS);
+    await systemClock.sleep(SINGLE_CHANGE_GAP_MS);
   }
 };
 
-const changeInStream = async (operator: Operator): Promise<number> => {
+const publishChangeStream = async (operator: Operator): Promise<number> => {
   const end = systemClock.now() + STREAM_MS;
   let changes = 0;
   while (systemClock.now() < end) {
@@ -103,7 +103,7 @@
   return changes;
 };
 
-/** Samples the highest age of a confirmation until `signal` aborts. */
+/** Highest age of a confirmation, over its bound, until `signal` aborts. */
 const sampleAges = async (
   fleet: relayFleet.RelayFleet,
   boundMs: number,
@@ -120,12 +120,15 @@
   return highest;
 };
 
-const awaitAll = async (
+const awaitAppliedByAll = async (
   fleet: relayFleet.RelayFleet,
   generation: number,
 ): Promise<void> => {
-  const end = systemClock.now() + LAST_DESIGN_S * 1_000;
-  while (fleet.lastAt(generation) === undefined && systemClock.now() < end) {
+  const end = systemClock.now() + MAX_SPREAD_DESIGN_S * 1_000;
+  while (
+    fleet.appliedByAllAt(generation) === undefined &&
+    systemClock.now() < end
+  ) {
     await systemClock.sleep(SAMPLE_MS);
   }
 };
@@ -140,40 +143,41 @@
   const operator = new Operator(fleet, random, first);
   await operator.change();
   await fleet.start(instances);
-  await awaitAll(fleet, 1);
-  await changeAlone(operator);
+  await awaitAppliedByAll(fleet, 1);
+  await publishSingleChanges(operator);
   const idleFrom = totalCalls(fleet);
-  await systemClock.sleep(LONE_GAP_MS);
-  const idleCalls = (totalCalls(fleet) - idleFrom) / (LONE_GAP_MS / 1_000);
+  await systemClock.sleep(SINGLE_CHANGE_GAP_MS);
+  const idleCalls =
+    (totalCalls(fleet) - idleFrom) / (SINGLE_CHANGE_GAP_MS / 1_000);
   const watchers = countWatchers(instances, zones);
   const boundMs = membership.isolationBoundMs(instances, watchers);
   const sampling = new AbortController();
   const ages = sampleAges(fleet, boundMs, sampling.signal);
-  const uses = fleet.members.map(({use}) => use.bytes);
+  const bytesBefore = fleet.members.map(({usage}) => usage.bytes);
   const from = {
     at: systemClock.now(),
     bytes: fleet.traffic.bytes,
     calls: totalCalls(fleet),
     cpu: process.cpuUsage(),
   };
-  const changes = await changeInStream(operator);
+  const changes = await publishChangeStream(operator);
   const seconds = (systemClock.now() - from.at) / 1_000;
   const cpu = process.cpuUsage(from.cpu);
   const bytes = fleet.traffic.bytes - from.bytes;
   const calls = totalCalls(fleet) - from.calls;
   const platformBytes = fleet.members.map(
-    ({use}, index) => use.bytes - (uses[index] ?? 0),
+    ({usage}, index) => usage.bytes - (bytesBefore[index] ?? 0),
   );
   sampling.abort();
   const newest = Math.max(...operator.acceptedAt.keys());
-  await awaitAll(fleet, newest);
+  await awaitAppliedByAll(fleet, newest);
   const generations = [...operator.acceptedAt.keys()].slice(1);
   const outcome: Outcome = {
     instances,
     watchers,
-    loneS: operator.timesToLast(generations.slice(0, LONE_CHANGES)),
-    streamS: operator.timesToLast(generations.slice(LONE_CHANGES)),
-    // Each byte is sent by one node and received by another.
+    singleS: operator.timesToAll(generations.slice(0, SINGLE_CHANGES)),
+    streamS: operator.timesToAll(generations.slice(SINGLE_CHANGES)),
+    // One instance sends each byte and another receives it.
     peerBytes: (2 * bytes) / instances / seconds,
     platformBytes: Math.max(...platformBytes) / seconds,
     callsPerChange: (calls - idleCalls * seconds) / changes,
@@ -190,15 +194,15 @@
   readonly watchers: number;
 }) => number;
 
-/** Rounds of exchanges grow with the doublings from watchers to all. */
+/** Rounds of exchanges grow with the doublings from watchers to instances. */
 const scaleByDoublings: Scale = ({instances, watchers}) =>
   Math.log2(instances / watchers);
 
-/** Only those that do not watch get changes from peers. */
+/** Only instances that don't watch the store get changes from peers. */
 const scaleByFollowers: Scale = ({instances, watchers}) =>
   1 - watchers / instances;
 
-/** Continues the line through the two largest fleets, over `scale`. */
+/** Extrapolates linearly in `scale` from the two largest fleets. */
 const extrapolate = (
   outcomes: readonly Outcome[],
   scale: Scale,
@@ -206,26 +210,28 @@
 ): number => {
   const [small, large] = outcomes.slice(-2);
   if (!small || !large) {
-    throw new Error('two fleets are needed');
+    throw new Error(
+      `can't extrapolate from ${outcomes.length} fleets: two are needed`,
+    );
   }
-  const watchers = countWatchers(DESIGN.instances, DESIGN.zones);
-  const design = {instances: DESIGN.instances, watchers};
+  const watchers = countWatchers(DESIGN_SIZE.instances, DESIGN_SIZE.zones);
+  const design = {instances: DESIGN_SIZE.instances, watchers};
   const slope = (value(large) - value(small)) / (scale(large) - scale(small));
   const further = scale(design) - scale(large);
   return value(large) + Math.max(0, slope) * further;
 };
 
-const lastOf = (outcome: Outcome): number =>
-  Math.max(...outcome.loneS, ...outcome.streamS);
+const findSlowestChange = (outcome: Outcome): number =>
+  Math.max(...outcome.singleS, ...outcome.streamS);
 
 const describeSize = (outcome: Outcome): readonly figures.Figure[] => {
   const {instances} = outcome;
   const atMost = (target: number) => ({target, direction: 'at_most'}) as const;
-  const lastTarget = instances <= 7 ? LAST_TODAY_S : LAST_DESIGN_S;
+  const lastTarget = instances <= 7 ? MAX_SPREAD_TODAY_S : MAX_SPREAD_DESIGN_S;
   return [
     {
       figure: `last_instance_max_${instances}`,
-      value: lastOf(outcome),
+      value: findSlowestChange(outcome),
       unit: 's',
       ...atMost(lastTarget),
     },
@@ -238,20 +244,20 @@
       figure: `peer_bytes_per_node_${instances}`,
       value: outcome.peerBytes,
       unit: 'B/s',
-      ...atMost(BYTES_PER_S),
+      ...atMost(MAX_BYTES_PER_S),
     },
     {
-      // A watcher's share of messages, and its own calls to the platform.
+      // A watcher's share of peer traffic and its own calls to the platform.
       figure: `watcher_bytes_${instances}`,
       value: outcome.peerBytes + outcome.platformBytes,
       unit: 'B/s',
-      ...atMost(BYTES_PER_S),
+      ...atMost(MAX_BYTES_PER_S),
     },
     {
       figure: `store_calls_per_change_${instances}`,
       value: outcome.callsPerChange,
       unit: 'calls',
-      // Every instance watches and reads the one changed section.
+      // The baseline: every instance watches and reads the changed section.
       baseline: instances * 2,
     },
     {
@@ -263,7 +269,7 @@
       figure: `core_share_per_node_${instances}`,
       value: outcome.coreShare,
       unit: 'cores',
-      ...atMost(CORE_SHARE),
+      ...atMost(MAX_CORE_SHARE),
     },
     {
       figure: `confirmation_age_of_bound_${instances}`,
@@ -274,6 +280,7 @@
   ];
 };
 
+/** Runs each fleet size and extrapolates to the design size. */
 export const bench: figures.Bench = {
   summary: 'configuration change to all instances: time, bytes, calls',
   run: async seed => {
@@ -285,25 +292,25 @@
     return [
       ...outcomes.flatMap(describeSize),
       {
-        figure: `last_instance_max_${DESIGN.instances}_extrapolated`,
-        value: extrapolate(outcomes, scaleByDoublings, lastOf),
+        figure: `last_instance_max_${DESIGN_SIZE.instances}_extrapolated`,
+        value: extrapolate(outcomes, scaleByDoublings, findSlowestChange),
         unit: 's',
-        target: LAST_DESIGN_S,
+        target: MAX_SPREAD_DESIGN_S,
         direction: 'at_most',
       },
       {
-        figure: `peer_bytes_per_node_${DESIGN.instances}_extrapolated`,
+        figure: `peer_bytes_per_node_${DESIGN_SIZE.instances}_extrapolated`,
         value: extrapolate(
           outcomes,
           scaleByFollowers,
           ({peerBytes}) => peerBytes,
         ),
         unit: 'B/s',
-        target: BYTES_PER_S,
+        target: MAX_BYTES_PER_S,
         direction: 'at_most',
       },
       {
-        // Both fleets have all 27 watchers: 1 means that calls do not grow.
+        // Both fleets have 27 watchers; 1 means that calls don't grow.
         figure: 'store_calls_per_change_200_to_50',
         value: (largest?.callsPerChange ?? 0) / (middle?.callsPerChange ?? 1),
         unit: 'ratio',
--- a/packages/bench/src/benches/rollout.ts
+++ b/packages/bench/src/benches/rollout.ts
@@ -1,69 +1,69 @@
 /**
- * Exposure of callers to a new version: worse by 30, 10 and 3 points of a
- * hundred, and equally good; the driver is lost half way and another resumes
- * from the stored state.
+ * Bad answers that callers get from a new version that is worse by 30, 10 and 3
+ * percentage points, and the fate of one that is equally good. The driver of the
+ * rollout is lost half way, and another resumes from the stored state.
  */
 import * as decisions from '@amaranthknot/decisions';
 import type * as figures from '../figure.js';
 import * as coarseRandom from '../models/coarse-random.js';
 import * as traffic from '../models/rollout-traffic.js';
 
-/** Share of bad answers of the old version. */
+/** Fraction of bad answers of the old version. */
 const OLD_BAD = 0.05;
 const STEPS = [0.005, 0.02, 0.1, 0.5, 1];
-/** Mean lateness of a rating, in seconds. */
-const RATING_DELAY = 20;
-/** Seconds between the baseline's steps. */
-const TIMED_STEP = 600;
+/** Mean delay of a rating, in seconds. */
+const RATING_DELAY_S = 20;
+/** Time between steps of the baseline, in seconds. */
+const TIMED_STEP_S = 600;
 const GOOD_SEEDS = 1_000;
 const BAD_SEEDS = 200;
-/** A roll-out of a good version has to be out within this many seconds. */
-const LIMIT = 14_400;
+/** Time within which the rollout of a good version must finish, in seconds. */
+const TIME_LIMIT_S = 14_400;
 
 const createScenario = (worse: number): traffic.Scenario => ({
   instances: 7,
   requestRate: 20,
   oldBad: OLD_BAD,
   newBad: OLD_BAD + worse,
-  ratingDelay: RATING_DELAY,
+  ratingDelay: RATING_DELAY_S,
   steps: STEPS,
-  limit: LIMIT,
-  // Half way to the outcome, roughly: a worse version is found sooner.
+  limit: TIME_LIMIT_S,
+  // Roughly half way to the outcome; a worse version is detected sooner.
   driverLostAt: Math.min(1_000, 30 / Math.max(worse, 0.01)),
   driverLostFor: 60,
 });
 
 type CreateDriver = (resumed: string | undefined) => traffic.Driver;
 
-/** The guard; the next driver resumes from the JSON of its state. */
-const createGuard =
+/** The product's evaluation; the next driver resumes from its state as JSON. */
+const createProductDriver =
   (scenario: traffic.Scenario): CreateDriver =>
   resumed => {
     let state = resumed
       ? (JSON.parse(resumed) as decisions.RolloutState)
       : decisions.createRolloutState();
     return {
-      look(evidence) {
+      evaluate(evidence) {
         const {steps, requestRate, ratingDelay} = scenario;
-        const look = {steps, evidence, requestRate, ratingDelay};
-        const looked = decisions.evaluateRollout(state, look);
-        state = looked.state;
-        const {share, kind} = looked.decision;
+        const input = {steps, evidence, requestRate, ratingDelay};
+        const evaluation = decisions.evaluateRollout(state, input);
+        state = evaluation.state;
+        const {share, kind} = evaluation.decision;
         return {share, stopped: kind === 'stop'};
       },
       store: () => JSON.stringify(state),
     };
   };
 
-/** Baseline: steps by the clock, stopped when the bad rate looks doubled. */
-const createTimed =
+/** Baseline: timed steps; stops when the rate of bad answers is doubled. */
+const createTimedDriver =
   (scenario: traffic.Scenario): CreateDriver =>
   () => ({
-    look(evidence, seconds) {
+    evaluate(evidence, seconds) {
       const sum = decisions.findNewEvidence({}, evidence);
       const oldRate = sum.old.bad / Math.max(1, sum.old.rated);
       const newRate = sum.new.bad / Math.max(1, sum.new.rated);
-      const step = Math.floor(seconds / TIMED_STEP);
+      const step = Math.floor(seconds / TIMED_STEP_S);
       return {
         share: scenario.steps[step] ?? 1,
         stopped: sum.new.rated >= 20 && newRate > 2 * oldRate,
@@ -109,9 +109,9 @@
   target: number,
   seed: number,
 ): readonly figures.Figure[] => {
-  const guarded = runMany(worse, BAD_SEEDS, createGuard, seed);
-  const timed = runMany(worse, BAD_SEEDS, createTimed, seed);
-  const bad = guarded.map(run => run.badAnswers);
+  const product = runMany(worse, BAD_SEEDS, createProductDriver, seed);
+  const timed = runMany(worse, BAD_SEEDS, createTimedDriver, seed);
+  const bad = product.map(run => run.badAnswers);
   return [
     {
       figure: `bad_answers_p95_${name}`,
@@ -132,21 +132,21 @@
     {figure: `bad_answers_mean_${name}`, value: mean(bad), unit: 'answers'},
     {
       figure: `fully_out_${name}`,
-      value: countOutcome(guarded, 'out') / BAD_SEEDS,
+      value: countOutcome(product, 'out') / BAD_SEEDS,
       unit: 'share',
       baseline: countOutcome(timed, 'out') / BAD_SEEDS,
     },
     {
       figure: `undecided_${name}`,
-      value: countOutcome(guarded, 'undecided') / BAD_SEEDS,
+      value: countOutcome(product, 'undecided') / BAD_SEEDS,
       unit: 'share',
     },
   ];
 };
 
 const reportGood = (seed: number): readonly figures.Figure[] => {
-  const timed = runMany(0, BAD_SEEDS, createTimed, seed);
-  const runs = runMany(0, GOOD_SEEDS, createGuard, seed);
+  const timed = runMany(0, BAD_SEEDS, createTimedDriver, seed);
+  const runs = runMany(0, GOOD_SEEDS, createProductDriver, seed);
   const out = runs.filter(run => run.outcome === 'out');
   return [
     {
@@ -175,7 +175,7 @@
   ];
 };
 
-/** See the module. */
+/** Compares the product's rollout evaluation with timed steps. */
 export const bench: figures.Bench = {
   summary: 'bad answers before a worse version is stopped',
   run(seed) {
--- a/packages/bench/src/benches/saturation.ts
+++ b/packages/bench/src/benches/saturation.ts
@@ -1,4 +1,4 @@
-/** Twice capacity for 10 minutes: nothing grows, nothing ends too late. */
+/** Twice the capacity for 10 minutes: queues must not grow, nor work end late. */
 import type * as figures from '../figure.js';
 import * as deployment from '../models/deployment.js';
 import * as statistics from '../models/statistics.js';
@@ -10,7 +10,7 @@
 const LOAD = 2;
 const END_MS = 600_000;
 const SAMPLE_MS = 500;
-/** Part of the run that counts as its beginning. */
+/** Start of the run, which is left out of the queue lengths. */
 const WARM_UP_MS = 60_000;
 
 interface Run {
@@ -20,7 +20,7 @@
   readonly queuedLate: number;
   readonly waitP99: number;
   readonly refusalP99: number;
-  /** Slot time of work that was cut at its deadline, over all of it. */
+  /** Slot time of requests that timed out, over the slot time of all. */
   readonly wasted: number;
 }
 
@@ -30,15 +30,18 @@
     ...(isProduct
       ? {}
       : {
-          createGate: deployment.createBaselineGate,
-          createChooser: deployment.createBaselineChooser,
+          createAdmission: deployment.createBaselineAdmission,
+          createPlacement: deployment.createBaselinePlacement,
           cancelsLateWork: false,
         }),
   });
   const capacity = (sim.slots * 1000) / SERVICE_MS;
   const samples: {readonly atMs: number; readonly queued: number}[] = [];
   sim.time.every(SAMPLE_MS, () => {
-    const queued = sim.gates.reduce((n, gate) => n + gate.queued, 0);
+    const queued = sim.admissions.reduce(
+      (n, admission) => n + admission.queued,
+      0,
+    );
     samples.push({atMs: sim.time.nowMs, queued});
   });
   sim.drive(
@@ -86,7 +89,7 @@
   };
 };
 
-/** Full saturation. */
+/** Compares the product with the baseline. */
 export const bench: figures.Bench = {
   summary: '2 times capacity for 10 minutes of virtual time',
   run: seed => {
--- a/packages/bench/src/benches/scale.ts
+++ b/packages/bench/src/benches/scale.ts
@@ -1,4 +1,4 @@
-/** Cost of decisions at today's size and at the size to design for. */
+/** Cost of decisions at today's size and at the design size. */
 import * as decisions from '@amaranthknot/decisions';
 import type * as figures from '../figure.js';
 import * as deployment from '../models/deployment.js';
@@ -16,13 +16,16 @@
 const BATCH = 1000;
 const BATCHES = 40;
 const WARM_UP_BATCHES = 10;
-/** Bytes of one load report: identity, load, age, and framing. */
+/** Bytes of a load report: id, load, age and framing. */
 const REPORT_BYTES = 24;
 const REPORT_PERIOD_S = 5;
-/** Latency, in milliseconds, that the runs give each answer. */
+/** Latency of each answer, in milliseconds. */
 const LATENCY_MS = 500;
 
-/** A zone's instances before the upstreams of one version there. */
+/**
+ * All instances of a zone in front of one version's upstreams there, where
+ * instances may choose the same upstream at once.
+ */
 const HERD_INSTANCES = 300;
 const HERD_UPSTREAMS = 40;
 const HERD_LOAD = 0.7;
@@ -31,7 +34,7 @@
 const HERD_END_MS = 30_000;
 const HERD_SAMPLE_MS = 100;
 
-/** Median over batches of the mean time of a step, in microseconds. */
+/** Median over batches of the mean duration of a step, in microseconds. */
 const timeStep = (step: (index: number) => void): number => {
   const times: number[] = [];
   let index = 0;
@@ -68,7 +71,7 @@
   readonly seed: number;
 }
 
-/** Time of one choice with its start, report and end. */
+/** Duration of one choice with its start, report and finish, in microseconds. */
 const timePlacement = (options: PlacementCase): number => {
   const {upstreams, versions, zones, hasAffinity, seed} = options;
   const random = seededRandom.createRandom(seed);
@@ -102,7 +105,7 @@
   });
 };
 
-/** Time of one offer with the release of another request. */
+/** Duration of one offer and the release of another request, in microseconds. */
 const timeAdmission = (
   workspaces: number,
   load: number,
@@ -140,11 +143,11 @@
 
 interface Watching {
   readonly watched: number;
-  /** Most instances that watch one upstream, over the mean. */
+  /** Highest number of instances that watch one upstream, over the mean. */
   readonly unevenness: number;
 }
 
-/** How many upstreams an instance watches, and how even the watchers are. */
+/** Upstreams that an instance watches, and how evenly watchers are spread. */
 const measureWatching = (
   instances: number,
   upstreams: number,
@@ -257,7 +260,7 @@
   ];
 };
 
-/** Time to take in a changed list of upstreams, in milliseconds. */
+/** Duration of applying a changed list of upstreams, in milliseconds. */
 const measureRebuild = (): readonly figures.Figure[] => {
   const placement = new decisions.Placement({
     instanceId: 'entry-0',
@@ -280,14 +283,14 @@
   ];
 };
 
-/** Load of an upstream over the mean, at p99 of moments, with many instances. */
+/** p99 of an upstream's load over the mean of all, with many instances. */
 const measureHerd = (
   seed: number,
-  createChooser: deployment.ChooserMaker,
+  createPlacement: deployment.PlacementFactory,
 ): number => {
   const sim = new deployment.Deployment({
     seed,
-    createChooser,
+    createPlacement,
     entryInstances: HERD_INSTANCES,
     upstreams: HERD_UPSTREAMS,
     slots: SLOTS,
@@ -315,7 +318,7 @@
   return statistics.percentile(ratios, 99);
 };
 
-/** The size to design for. */
+/** Compares 12 upstreams with 12,000. */
 export const bench: figures.Bench = {
   summary: 'cost of decisions with 12 and 12,000 upstreams',
   run: seed =>
@@ -327,9 +330,9 @@
       ...measureControl(),
       {
         figure: 'load_p99_to_mean_300_instances',
-        value: measureHerd(seed, deployment.createProductChooser),
+        value: measureHerd(seed, deployment.createProductPlacement),
         unit: 'ratio',
-        baseline: measureHerd(seed, deployment.createBaselineChooser),
+        baseline: measureHerd(seed, deployment.createBaselinePlacement),
       },
     ]),
 };
--- a/packages/bench/src/benches/skew.ts
+++ b/packages/bench/src/benches/skew.ts
@@ -1,4 +1,4 @@
-/** One workspace and one prefix take 60% of all requests. */
+/** Skewed load: one workspace and one prefix get 60% of all requests. */
 import * as decisions from '@amaranthknot/decisions';
 import type * as figures from '../figure.js';
 import * as deployment from '../models/deployment.js';
@@ -6,38 +6,41 @@
 import * as statistics from '../models/statistics.js';
 import type * as upstreamModel from '../models/upstream-model.js';
 
-/** A batch of 32, and the small one of 16, where chance weighs more. */
+/** Slots of an upstream: 32, and 16, where random variation is larger. */
 const SLOTS = 32;
 const FEW_SLOTS = 16;
 const SERVICE_MS = 800;
 const SERVICE_SIGMA = 0.5;
 const DEADLINE_MS = 30_000;
-const LOAD = 0.7;
+const UTILISATION = 0.7;
 const HOT_SHARE = 0.6;
-/** Prefixes beside the hot one; each upstream caches 20. */
+/** Number of other prefixes; each upstream caches 20. */
 const COLD_PREFIXES = 100;
 const WARM_UP_MS = 20_000;
 const END_MS = 120_000;
 const SAMPLE_MS = 100;
-/** Span over which an upstream's load is averaged. */
-const WINDOW = 10;
-/** Load up to which the oracle keeps to cached prefixes. */
-const ORACLE_BOUND = 1.2;
+/** Samples over which an upstream's load is averaged. */
+const WINDOW_SAMPLES = 10;
+/** Load over the mean up to which the oracle prefers cached prefixes. */
+const ORACLE_LOAD_BOUND = 1.2;
 
 interface Run {
   readonly hitRate: number;
-  /** Load of an upstream over the mean of all, at p99 of moments. */
+  /** p99 of an upstream's load over the mean of all, averaged over a window. */
   readonly loadP99: number;
   readonly momentLoadP99: number;
   readonly latencyP99: number;
 }
 
-/** Knows the true load and cache of each upstream. */
-const createOracle: deployment.ChooserMaker = (_id, upstreams) => ({
+/** Placement that knows the true load and cache of each upstream. */
+const createOraclePlacement: deployment.PlacementFactory = (
+  _id,
+  upstreams,
+) => ({
   choose: ({affinityKey = ''}) => {
     const mean = statistics.mean(upstreams.map(u => u.load));
     const byLoad = [...upstreams].sort((a, b) => a.load - b.load);
-    const bound = ORACLE_BOUND * (mean + 1);
+    const bound = ORACLE_LOAD_BOUND * (mean + 1);
     const cached = byLoad.find(u => u.holds(affinityKey) && u.load <= bound);
     const chosen = cached ?? byLoad[0];
     return chosen
@@ -54,8 +57,8 @@
   report: () => undefined,
 });
 
-/** Sends each prefix to one upstream, whatever its load. */
-const createPlainHash: deployment.ChooserMaker = (_id, upstreams) => {
+/** Placement that sends each prefix to one upstream, whatever its load. */
+const createHashPlacement: deployment.PlacementFactory = (_id, upstreams) => {
   const ids = upstreams.map(u => u.options.id);
   return {
     choose: ({affinityKey = ''}) => {
@@ -90,7 +93,7 @@
       sums.set(upstream, (sums.get(upstream) ?? 0) + upstream.load);
       momentRatios.push(upstream.load / Math.max(1, mean));
     }
-    if (samples === WINDOW) {
+    if (samples === WINDOW_SAMPLES) {
       const windowMean = statistics.mean([...sums.values()]);
       for (const sum of sums.values()) {
         ratios.push(sum / Math.max(1, windowMean));
@@ -103,11 +106,15 @@
 
 const runOnce = (
   seed: number,
-  createChooser: deployment.ChooserMaker,
+  createPlacement: deployment.PlacementFactory,
   slots = SLOTS,
 ): Run => {
-  const sim = new deployment.Deployment({seed, createChooser, slots});
-  const rate = (LOAD * sim.slots * 1000) / SERVICE_MS;
+  const sim = new deployment.Deployment({
+    seed,
+    createPlacement,
+    slots,
+  });
+  const rate = (UTILISATION * sim.slots * 1000) / SERVICE_MS;
   const ratios: number[] = [];
   const momentRatios: number[] = [];
   observeLoads(sim, ratios, momentRatios);
@@ -146,16 +153,16 @@
   };
 };
 
-/** Skewed demand. */
+/** Compares the product with an oracle, hashing and random placement. */
 export const bench: figures.Bench = {
   summary: 'one workspace and one prefix take 60% of requests',
   run: seed => {
-    const product = runOnce(seed, deployment.createProductChooser);
-    const oracle = runOnce(seed, createOracle);
-    const hash = runOnce(seed, createPlainHash);
-    const random = runOnce(seed, deployment.createBaselineChooser);
-    const few = runOnce(seed, deployment.createProductChooser, FEW_SLOTS);
-    const fewOracle = runOnce(seed, createOracle, FEW_SLOTS);
+    const product = runOnce(seed, deployment.createProductPlacement);
+    const oracle = runOnce(seed, createOraclePlacement);
+    const hash = runOnce(seed, createHashPlacement);
+    const random = runOnce(seed, deployment.createBaselinePlacement);
+    const few = runOnce(seed, deployment.createProductPlacement, FEW_SLOTS);
+    const fewOracle = runOnce(seed, createOraclePlacement, FEW_SLOTS);
     return Promise.resolve([
       {
         figure: 'load_p99_to_mean',
--- a/packages/bench/src/benches/slow-upstream.ts
+++ b/packages/bench/src/benches/slow-upstream.ts
@@ -1,4 +1,4 @@
-/** One of 8 upstreams turns 10 times slower while reports lag by 2 s. */
+/** One of 8 upstreams becomes 10 times slower while load reports lag by 2 s. */
 import type * as figures from '../figure.js';
 import * as deployment from '../models/deployment.js';
 import type * as entryModel from '../models/entry-model.js';
@@ -14,7 +14,7 @@
 
 interface Mode {
   readonly seed: number;
-  readonly createChooser: deployment.ChooserMaker;
+  readonly createPlacement: deployment.PlacementFactory;
   readonly slowdown: number;
 }
 
@@ -53,17 +53,17 @@
     99,
   );
 
-/** One slow upstream must not hold the tail. */
+/** Checks that one slow upstream doesn't dominate the tail latency. */
 export const bench: figures.Bench = {
   summary: 'one of 8 upstreams turns 10 times slower, reports lag by 2 s',
   run: seed => {
-    const createChooser = deployment.createProductChooser;
-    const random = deployment.createBaselineChooser;
-    const slow = runOnce({seed, createChooser, slowdown: SLOWDOWN});
-    const sound = runOnce({seed, createChooser, slowdown: 1});
+    const createPlacement = deployment.createProductPlacement;
+    const random = deployment.createBaselinePlacement;
+    const slow = runOnce({seed, createPlacement, slowdown: SLOWDOWN});
+    const sound = runOnce({seed, createPlacement, slowdown: 1});
     const randomSlow = runOnce({
       seed,
-      createChooser: random,
+      createPlacement: random,
       slowdown: SLOWDOWN,
     });
     const answered = slow.filter(o => o.kind === 'answered').length;
--- a/packages/bench/src/benches/state.ts
+++ b/packages/bench/src/benches/state.ts
@@ -1,7 +1,7 @@
 /**
- * State and messages of roles that have no bench of their own: bytes of the
- * time line's ring, of one roll-out's evidence, of one upstream in the
- * platform's list; for `docs/CAPACITY.md`.
+ * Sizes that no other bench measures, for `docs/CAPACITY.md`: an event in the
+ * ring of the time line, a message with the evidence of a rollout, and an
+ * upstream in the directory and in the platform's list.
  */
 import * as decisions from '@amaranthknot/decisions';
 import * as entry from '@amaranthknot/entry';
@@ -13,16 +13,16 @@
 const UPSTREAMS = 12_000;
 const VERSIONS = 33;
 
-/** Heap in use, after a collection when node runs with --expose-gc. */
+/** Heap in use; collects garbage first if node runs with --expose-gc. */
 const readHeap = (): number => {
   globalThis.gc?.();
   return process.memoryUsage().heapUsed;
 };
 
-const measureHeap = <T>(create: () => T): {bytes: number; held: T} => {
+const measureHeap = <T>(create: () => T): {bytes: number; created: T} => {
   const before = readHeap();
-  const held = create();
-  return {bytes: readHeap() - before, held};
+  const created = create();
+  return {bytes: readHeap() - before, created};
 };
 
 const fillRing = (): telemetry.EventRing => {
@@ -71,7 +71,7 @@
   return directory;
 };
 
-const sizeOf = (text: string): number => Buffer.byteLength(text);
+const byteLength = (text: string): number => Buffer.byteLength(text);
 
 const counts = {
   requests: 1e6,
@@ -91,11 +91,11 @@
     id: 1,
     result: {incarnation: 'entry-1.1764000000000', old: counts, new: counts},
   });
-  const asked = protocol.encodeRequest('fetch_evidence', {
+  const request = protocol.encodeRequest('fetch_evidence', {
     rollout: 'model-1.v1.v2',
   });
-  const events = ring.held.read().length;
-  const known = directory.held.all().length;
+  const events = ring.created.read().length;
+  const upstreamCount = directory.created.all().length;
   return Promise.resolve([
     {
       figure: 'event_bytes',
@@ -104,23 +104,23 @@
     },
     {
       figure: 'directory_bytes_an_upstream',
-      value: directory.bytes / known,
+      value: directory.bytes / upstreamCount,
       unit: 'bytes',
     },
     {
       figure: 'listed_upstream_bytes',
-      value: sizeOf(JSON.stringify(createListed(1_000))),
+      value: byteLength(JSON.stringify(createListed(1_000))),
       unit: 'bytes',
     },
     {
       figure: 'evidence_message_bytes',
-      value: sizeOf(evidence) + sizeOf(asked),
+      value: byteLength(evidence) + byteLength(request),
       unit: 'bytes',
     },
   ]);
 };
 
-/** The bench. */
+/** Measures the size of each in bytes. */
 export const bench: figures.Bench = {
   summary: 'state and messages of small roles, for the capacity page',
   run,
--- a/packages/bench/src/benches/warm-up.ts
+++ b/packages/bench/src/benches/warm-up.ts
@@ -1,7 +1,8 @@
 /**
- * A cold upstream among 7 and 1,000 entry instances whose views of each other
- * differ: the work they send together against what it bears, and the time to
- * full use; then the same when it turns cold again without warning.
+ * A cold upstream with 7 and with 1,000 entry instances whose views of each
+ * other differ. Reports the requests of all instances against the upstream's
+ * capacity, and the time to full use; also when it becomes cold again without
+ * notice.
  */
 import * as decisions from '@amaranthknot/decisions';
 import type * as figures from '../figure.js';
@@ -14,7 +15,7 @@
   warmMs: 60_000,
 };
 const FULL_USE = 0.9;
-/** Shortest time to nine tenths of full use: the bound itself. */
+/** Time at which the capacity reaches nine tenths of full use. */
 const SHORTEST_MS =
   (CURVE.warmMs * (FULL_USE * CURVE.fullSlots - CURVE.coldSlots)) /
   (CURVE.fullSlots - CURVE.coldSlots);
@@ -34,11 +35,11 @@
   ...changes,
 });
 
-/** Baseline: each sender warms the upstream up as if it were alone. */
+/** Baseline: each sender uses the full capacity, as if it were the only one. */
 const warmAlone: coldUpstream.Allowance = (_sender, _view, ageMs) =>
   decisions.findWarmUpSlots(CURVE, ageMs);
 
-/** Alternative without messages: whole slots for the first ranks only. */
+/** Alternative without messages: divides the slots, the rest by rank. */
 const shareByRank =
   (instances: number): coldUpstream.Allowance =>
   (sender, ranks, ageMs) => {
@@ -69,7 +70,7 @@
   const again = coldUpstream.runWarmUp(
     createScenario(instances, {
       coldAgainAtMs: 80_000,
-      noticeMs: 1_000,
+      maxNoticeMs: 1_000,
       lengthMs: 200_000,
     }),
     random,
@@ -77,15 +78,15 @@
   return [
     {
       figure: `work_to_bound_highest_${instances}`,
-      value: granted.highestRatio,
+      value: granted.maxLoadRatio,
       unit: 'ratio',
       target: 1,
       direction: 'at_most',
-      baseline: alone.highestRatio,
+      baseline: alone.maxLoadRatio,
     },
     {
       figure: `work_to_bound_highest_by_rank_${instances}`,
-      value: ranked.highestRatio,
+      value: ranked.maxLoadRatio,
       unit: 'ratio',
     },
     {
@@ -97,7 +98,7 @@
     },
     {
       figure: `cold_again_cut_after_${instances}`,
-      value: again.cutMs,
+      value: again.lastExcessMs,
       unit: 'ms',
     },
     {
@@ -115,7 +116,7 @@
   ];
 };
 
-/** See the module. */
+/** Compares grants with senders on their own and with division by rank. */
 export const bench: figures.Bench = {
   summary: 'work sent to a cold upstream by all instances together',
   run(seed) {
--- a/packages/bench/src/benches/zone.ts
+++ b/packages/bench/src/benches/zone.ts
@@ -1,6 +1,7 @@
 /**
- * One availability zone of three and of four taken out, back after a minute
- * and after ten: door checks, accepted work, and upstreams on the return.
+ * Takes one availability zone of three, and of four, out of service for a minute
+ * and for ten. Reports lost requests, latency of door checks, and the load on
+ * the zone's upstreams when it returns.
  */
 import type * as figures from '../figure.js';
 import * as zoneService from '../models/zone-service.js';
@@ -51,22 +52,22 @@
     },
     {
       figure: `work_to_bound_return_${name}`,
-      value: ramped.highestRatio,
+      value: ramped.maxLoadRatio,
       unit: 'ratio',
       target: 1,
       direction: 'at_most',
-      baseline: bare.highestRatio,
+      baseline: bare.maxLoadRatio,
     },
     {
       figure: `full_share_after_${name}`,
-      value: ramped.backMs,
+      value: ramped.restoredAfterMs,
       unit: 'ms',
-      baseline: bare.backMs,
+      baseline: bare.restoredAfterMs,
     },
   ];
 };
 
-/** See the module. */
+/** Compares zones that are ramped up on return with zones that are not. */
 export const bench: figures.Bench = {
   summary: 'service while a zone leaves and returns',
   run(seed) {
--- a/packages/bench/src/check-histories.ts
+++ b/packages/bench/src/check-histories.ts
@@ -1,5 +1,5 @@
 /**
- * Runs and checks histories of claims and bills:
+ * Command that runs simulated histories of claims and bills and checks them:
  * `npm run check:histories -- [--seeds N] [--first SEED] [--show SEED]`.
  */
 import * as meow from 'meow';
@@ -42,7 +42,7 @@
   }
 };
 
-const count = (
+const countEvents = (
   totals: Map<string, number>,
   history: histories.History,
 ): void => {
@@ -57,7 +57,7 @@
   let broken = 0;
   for (let seed = first; seed < first + seeds; seed++) {
     const history = await runHistory.runHistory(seed);
-    count(totals, history);
+    countEvents(totals, history);
     const violations = checkHistory.checkHistory(history);
     broken += violations.length > 0 ? 1 : 0;
     for (const {check, identity, message} of violations) {
--- a/packages/bench/src/figure.ts
+++ b/packages/bench/src/figure.ts
@@ -1,24 +1,24 @@
-/** Figures that a bench reports. */
+/** The figures that a bench reports, and the interface of a bench. */
 
-/** Which way a figure must lie from its target. */
+/** Whether a figure's target is an upper or a lower bound. */
 export type Direction = 'at_most' | 'at_least';
 
 /** One measured figure. */
 export interface Figure {
-  /** Name in snake case, unique in its bench. */
+  /** Name in snake case, unique within its bench. */
   readonly figure: string;
   readonly value: number;
   readonly unit: string;
-  /** Value of the simplest baseline in the same run. */
+  /** Value of the simplest baseline, measured in the same run. */
   readonly baseline?: number;
-  /** The target asked for, and the side of it that is met. */
+  /** Required bound; `direction` says on which side of it the value must lie. */
   readonly target?: number;
   readonly direction?: Direction;
 }
 
-/** A bench: one file in `benches/`, exporting this as `bench`. */
+/** A bench: each file in `benches/` exports one as `bench`. */
 export interface Bench {
-  /** One line for the list of benches. */
+  /** One line, printed in the list of benches. */
   readonly summary: string;
   run(seed: number): Promise<readonly Figure[]>;
 }
--- a/packages/bench/src/histories/check-history.ts
+++ b/packages/bench/src/histories/check-history.ts
@@ -1,4 +1,4 @@
-/** Checks recorded histories. */
+/** Checks recorded histories of claims and bills for broken guarantees. */
 import type * as histories from './history.js';
 
 type EventOf<T extends histories.HistoryEvent['type']> = Extract<
@@ -22,7 +22,7 @@
 
 type Check = (history: histories.History) => readonly histories.Violation[];
 
-/** A non-idempotent request leaves for its upstream at most once. */
+/** A non-idempotent request is sent to an upstream at most once. */
 const checkSentAtMostOnce: Check = history => {
   const sends = select(history, 'sent').filter(event => !event.idempotent);
   const counts = countBy(sends.map(event => event.identity));
@@ -35,7 +35,7 @@
     }));
 };
 
-/** An attempt told `not_run` sent nothing, neither before nor after. */
+/** An attempt reported as `not_run` is never sent, neither before nor after. */
 const checkNotRunIsTrue: Check = history => {
   const sends = select(history, 'sent');
   const sent = new Set(sends.map(event => event.attempt));
@@ -48,7 +48,7 @@
     }));
 };
 
-/** A recorded answer is one that the request's only run gave. */
+/** An answer is replayed only after the request was sent. */
 const checkReplayFollowsAnswer: Check = history => {
   const sent = new Set<string>();
   const violations: histories.Violation[] = [];
@@ -66,7 +66,7 @@
   return violations;
 };
 
-/** Each request that was answered whole has a bill. */
+/** Each completely answered request has a bill. */
 const checkAnsweredIsBilled: Check = history => {
   const bills = select(history, 'billed');
   const billed = new Set(bills.map(event => event.identity));
@@ -82,7 +82,7 @@
     }));
 };
 
-/** No request has two bills in the object API. */
+/** No request has more than one bill in the object API. */
 const checkBilledOnce: Check = history => {
   const bills = select(history, 'billed');
   const counts = countBy(bills.map(event => event.identity));
@@ -95,7 +95,7 @@
     }));
 };
 
-/** A bill belongs to a request that reached an upstream. */
+/** Only requests that were sent to an upstream are billed. */
 const checkBilledWasSent: Check = history => {
   const sends = select(history, 'sent');
   const sent = new Set(sends.map(event => event.identity));
@@ -108,7 +108,7 @@
     }));
 };
 
-/** While its owner lives, a claim that sent nothing does not stay for good. */
+/** A claim whose request was never sent is deleted while its owner is alive. */
 const checkVoidIsFreed: Check = history =>
   select(history, 'orphaned')
     .filter(event => event.ownerAlive)
@@ -128,7 +128,7 @@
   checkVoidIsFreed,
 ];
 
-/** All violations of a history; none when it holds. */
+/** Runs all checks; the result is empty for a correct history. */
 export const checkHistory = (
   history: histories.History,
 ): readonly histories.Violation[] => CHECKS.flatMap(check => check(history));
--- a/packages/bench/src/histories/fault-plan.ts
+++ b/packages/bench/src/histories/fault-plan.ts
@@ -1,37 +1,37 @@
-/** Draws what goes wrong in one run, within what the design bears. */
+/** Draws the faults of one run, within what the design has to tolerate. */
 
-/** One fault of a run. */
+/** A fault and its time, in milliseconds from the start of the run. */
 export type PlannedFault =
   | {
       readonly kind: 'kill';
       readonly atMs: number;
-      /** Whether all instances of the victim's zone die with it. */
+      /** Whether all instances in the zone are killed. */
       readonly wholeZone: boolean;
-      /** Whether the victim is the instance that answered last. */
+      /** Whether to kill the instance that answered last. */
       readonly afterAnswer: boolean;
     }
   | {readonly kind: 'pause'; readonly atMs: number; readonly ms: number}
   | {readonly kind: 'restart'; readonly atMs: number}
   | {
-      /** The platform is out for all. */
+      /** The platform is unavailable to all instances. */
       readonly kind: 'outage';
       readonly atMs: number;
       readonly ms: number;
-      /** Whether writes take effect while their answers are lost. */
-      readonly deaf: boolean;
+      /** Whether writes take effect but their answers are lost. */
+      readonly losesAnswers: boolean;
     }
   | {
-      /** An instance is cut from its peers. */
+      /** An instance is cut off from its peers. */
       readonly kind: 'isolation';
       readonly atMs: number;
       readonly ms: number;
-      /** Whether it is cut from the platform, too. */
-      readonly fromPlatform: boolean;
-      /** Whether it dies before anyone reaches it again. */
+      /** Whether it is cut off from the platform as well. */
+      readonly alsoFromPlatform: boolean;
+      /** Whether it is killed before it is reachable again. */
       readonly endsInKill: boolean;
     };
 
-/** Rates of faults of single calls and messages, 0 to 1. */
+/** Fault rates of single calls and messages, from 0 to 1. */
 export interface FaultRates {
   readonly lost: number;
   readonly stale: number;
@@ -40,21 +40,21 @@
   readonly messageLoss: number;
 }
 
-/** What goes wrong in one run. */
+/** All faults of one run. */
 export interface FaultPlan {
   readonly rates: FaultRates;
   readonly faults: readonly PlannedFault[];
 }
 
-const MAX_GROUPS = 3;
-/** Faults of one group come this close together. */
-const GROUP_MS = 1_000;
+const MAX_KILL_GROUPS = 3;
+/** Kills of one group happen within this time. */
+const KILL_GROUP_SPAN_MS = 1_000;
 /**
- * Time between two groups: peers need 3 s to suspect an instance and some
- * seconds more to copy or recover its bills. In an outage they cannot recover
- * them, so such a run has one group.
+ * Minimum time between two groups of kills: peers need 3 s to suspect an
+ * instance and some seconds more to copy or recover its bills. During an outage
+ * they can't recover bills, so a run with outages has at most one group.
  */
-const GROUP_GAP_MS = 12_000;
+const MIN_KILL_GROUP_GAP_MS = 12_000;
 
 type Random = () => number;
 
@@ -64,7 +64,7 @@
 const repeat = <T>(count: number, create: () => T): readonly T[] =>
   Array.from({length: count}, create);
 
-/** Draws rates once a run, so that runs differ in what is common in them. */
+/** Draws the rates of a run, so that different faults dominate in each. */
 const drawRates = (random: Random): FaultRates => ({
   lost: random() < 0.5 ? random() * 0.3 : 0,
   stale: random() < 0.5 ? random() * 0.3 : 0,
@@ -74,14 +74,15 @@
 });
 
 /**
- * One instance or one zone, and in half of the cases one instance more. Where
- * a third zone may be away at that time, a zone dies alone: bills are then in
- * two zones only, and both would die at once.
+ * Draws the kill of one instance or one zone, and in half of the cases of one
+ * more instance. If a third zone may be unreachable at that time, a zone is
+ * killed alone: bills are then held in two zones only, and killing in both would
+ * lose them.
  */
-const drawGroup = (
+const drawKillGroup = (
   random: Random,
   startMs: number,
-  mayZoneBeAway: boolean,
+  mayZoneBeUnreachable: boolean,
 ): readonly PlannedFault[] => {
   const wholeZone = random() < 0.3;
   const first: PlannedFault = {
@@ -92,43 +93,43 @@
   };
   const second: PlannedFault = {
     kind: 'kill',
-    atMs: startMs + random() * GROUP_MS,
+    atMs: startMs + random() * KILL_GROUP_SPAN_MS,
     wholeZone: false,
     afterAnswer: random() < 0.5,
   };
-  const alone = random() < 0.5 || (wholeZone && mayZoneBeAway);
-  return alone ? [first] : [first, second];
+  const isSingleKill = random() < 0.5 || (wholeZone && mayZoneBeUnreachable);
+  return isSingleKill ? [first] : [first, second];
 };
 
 const drawKills = (
   random: Random,
   runMs: number,
   hasOutage: boolean,
-  mayZoneBeAway: boolean,
+  mayZoneBeUnreachable: boolean,
 ): readonly PlannedFault[] => {
-  const groups = draw(random, (hasOutage ? 1 : MAX_GROUPS) + 1);
+  const groups = draw(random, (hasOutage ? 1 : MAX_KILL_GROUPS) + 1);
   let startMs = random() * (runMs / 2);
   return repeat(groups, () => {
-    const group = drawGroup(random, startMs, mayZoneBeAway);
-    startMs += GROUP_GAP_MS + random() * GROUP_GAP_MS;
+    const group = drawKillGroup(random, startMs, mayZoneBeUnreachable);
+    startMs += MIN_KILL_GROUP_GAP_MS + random() * MIN_KILL_GROUP_GAP_MS;
     return group;
   }).flat();
 };
 
-/** Draws a run's faults from a seeded random function. */
+/** Draws the faults of a run of `runMs` from a seeded random function. */
 export const drawFaultPlan = (random: Random, runMs: number): FaultPlan => {
   const rates = drawRates(random);
   const outages = repeat(draw(random, 3), (): PlannedFault => ({
     kind: 'outage',
     atMs: random() * runMs,
     ms: random() * 15_000,
-    deaf: random() < 0.3,
+    losesAnswers: random() < 0.3,
   }));
   const isolations = repeat(draw(random, 2), (): PlannedFault => ({
     kind: 'isolation',
     atMs: random() * runMs,
     ms: random() * 15_000,
-    fromPlatform: random() < 0.5,
+    alsoFromPlatform: random() < 0.5,
     endsInKill: random() < 0.4,
   }));
   const pauses = repeat(draw(random, 3), (): PlannedFault => ({
@@ -141,12 +142,12 @@
     atMs: random() * runMs,
   }));
   const hasOutage = outages.length + isolations.length > 0;
-  const mayZoneBeAway = isolations.length + pauses.length > 0;
-  const isKilledAway = isolations.some(
+  const mayZoneBeUnreachable = isolations.length + pauses.length > 0;
+  const isIsolatedInstanceKilled = isolations.some(
     fault => fault.kind === 'isolation' && fault.endsInKill,
   );
-  const groups = drawKills(random, runMs, hasOutage, mayZoneBeAway);
-  const kills = isKilledAway ? [] : groups;
+  const groups = drawKills(random, runMs, hasOutage, mayZoneBeUnreachable);
+  const kills = isIsolatedInstanceKilled ? [] : groups;
   const faults = [...outages, ...isolations, ...pauses, ...restarts, ...kills];
   return {rates, faults};
 };
--- a/packages/bench/src/histories/history.ts
+++ b/packages/bench/src/histories/history.ts
@@ -1,12 +1,13 @@
-/** Histories of concurrent runs of claims and bills. */
+/** Types of recorded histories: what happened to claims and bills in one run. */
 
-/** What a caller was told about one attempt. */
-export type Told = 'answered' | 'replayed' | 'not_run' | 'unknown' | 'mismatch';
+/** What the caller of one attempt was told. */
+export type AttemptResult =
+  'answered' | 'replayed' | 'not_run' | 'unknown' | 'mismatch';
 
-/** Something that happened at one moment of a run, in order. */
+/** One event of a run; a history lists them in order. */
 export type HistoryEvent =
   | {
-      /** A request left for its upstream. */
+      /** A request was sent to its upstream. */
       readonly type: 'sent';
       readonly atMs: number;
       readonly identity: string;
@@ -15,24 +16,24 @@
       readonly idempotent: boolean;
     }
   | {
-      /** A caller got the end of an answer, or a refusal. */
+      /** A caller received the end of an answer, or a refusal. */
       readonly type: 'told';
       readonly atMs: number;
       readonly identity: string;
       readonly attempt: string;
       readonly instance: string;
-      readonly told: Told;
+      readonly told: AttemptResult;
     }
   | {
-      /** A bill stands in the object API at the end of the run. */
+      /** The object API holds this bill at the end of the run. */
       readonly type: 'billed';
       readonly identity: string;
       readonly cost: number;
     }
   | {
       /**
-       * A claim stands at the end of a request that was never sent: its caller
-       * gets `unknown` for ever, though nothing ran.
+       * A claim remains at the end of the run although its request was never
+       * sent: its caller would get `unknown` for ever.
        */
       readonly type: 'orphaned';
       readonly identity: string;
@@ -44,7 +45,7 @@
       readonly fault: string;
     };
 
-/** A recorded run. */
+/** The recorded events of one run. */
 export interface History {
   readonly seed: number;
   readonly events: readonly HistoryEvent[];
@@ -52,7 +53,7 @@
   readonly calls: Readonly<Record<string, number>>;
 }
 
-/** The checks, named for what they hold the run to. */
+/** Names of the checks, each the guarantee that it checks. */
 export type CheckName =
   | 'sent_at_most_once'
   | 'not_run_is_true'
@@ -62,7 +63,7 @@
   | 'billed_was_sent'
   | 'void_is_freed';
 
-/** A check that a history breaks. */
+/** A failed check, and the request that it failed for. */
 export interface Violation {
   readonly check: CheckName;
   readonly identity: string;
--- a/packages/bench/src/histories/lifeline.ts
+++ b/packages/bench/src/histories/process-control.ts
@@ -2,12 +2,12 @@
 import type * as ports from '@amaranthknot/ports';
 
 /**
- * Stands between a simulated process and everything it awaits: after a kill
- * no step of it runs, during a pause its steps wait, while calls already under
- * way take their effect outside.
+ * Wraps every promise that a simulated process awaits. After a kill no further
+ * step of the process runs, and during a pause its steps are delayed; calls that
+ * were already sent still take effect at their receiver.
  */
-export class Lifeline {
-  private pausedUntil = 0;
+export class ProcessControl {
+  private pausedUntilMs = 0;
   alive = true;
 
   constructor(private readonly clock: ports.Clock) {}
@@ -17,35 +17,34 @@
   }
 
   pause(ms: number): void {
-    this.pausedUntil = Math.max(this.pausedUntil, this.clock.now() + ms);
+    this.pausedUntilMs = Math.max(this.pausedUntilMs, this.clock.now() + ms);
   }
 
-  /** Start of the current pause's rest; undefined when running. */
   isPaused(): boolean {
-    return this.clock.now() < this.pausedUntil;
+    return this.clock.now() < this.pausedUntilMs;
   }
 
-  /** The result as the process gets it: never after a kill, late in a pause. */
+  /** Never resolves after a kill; resolves after the end of a pause. */
   guard<T>(promise: Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
       promise.then(value => this.deliver(() => resolve(value)), reject);
     });
   }
 
-  /** Runs a step of the process when it may run. */
+  /** Runs a step of the process at once, or after a pause; not after a kill. */
   deliver(step: () => void): void {
     if (!this.alive) {
       return;
     }
-    const left = this.pausedUntil - this.clock.now();
-    if (left <= 0) {
+    const remainingMs = this.pausedUntilMs - this.clock.now();
+    if (remainingMs <= 0) {
       step();
       return;
     }
-    void this.clock.sleep(left).then(() => this.deliver(step));
+    void this.clock.sleep(remainingMs).then(() => this.deliver(step));
   }
 
-  /** The process's own clock. */
+  /** The clock as the process sees it. */
   guardClock(): ports.Clock {
     return {
       now: () => this.clock.now(),
@@ -54,7 +53,7 @@
     };
   }
 
-  /** The process's connection to the platform. */
+  /** The object API as the process sees it. */
   guardStore(store: ports.ObjectStore): ports.ObjectStore {
     return {
       get: (kind, name) => this.guard(store.get(kind, name)),
--- a/packages/bench/src/histories/run-history.ts
+++ b/packages/bench/src/histories/run-history.ts
@@ -13,10 +13,10 @@
 import * as simulatedInstance from './simulated-instance.js';
 import * as simulatedNetwork from './simulated-network.js';
 
-/** What a run uses in place of the product's parts; tests plant faults so. */
+/** Replaces parts of a run; tests use it to inject faults into the product. */
 export interface RunOptions {
-  readonly serve?: serveRequest.Service;
-  /** Stands between the instances and the platform. */
+  readonly serve?: serveRequest.AttemptHandler;
+  /** Wraps the object API as instances see it. */
   readonly wrapStore?: (store: ports.ObjectStore) => ports.ObjectStore;
   readonly wrapPeers?: (
     peers: simulatedInstance.Peers,
@@ -27,31 +27,31 @@
 const ZONES = 3;
 const REQUESTS = 30;
 const RUN_MS = 45_000;
-/** Quiet time at the end in which bills are recovered and written. */
-const QUIET_MS = 120_000;
+/** Time without faults at the end, in which bills are recovered and written. */
+const SETTLE_MS = 120_000;
 const IDEMPOTENT_SHARE = 0.3;
 const GIVE_UP_RATE = 0.1;
-const CUT_RATE = 0.1;
+const UPSTREAM_CUT_RATE = 0.1;
 
 class Run {
   private readonly clock = new fakes.VirtualClock();
   private readonly random: () => number;
   private readonly plan: faultPlan.FaultPlan;
-  /** Short intervals write many segments, long ones keep bills pending. */
+  /** Short intervals give many segments, long ones keep bills pending. */
   private readonly flushIntervalMs: number;
   private readonly store: fakes.MemoryObjectStore;
   private readonly peers: simulatedInstance.Peers;
-  private readonly seenStore: ports.ObjectStore;
+  private readonly instanceStore: ports.ObjectStore;
   private readonly events: histories.HistoryEvent[] = [];
   private readonly silent = new Map<string, number>();
   private readonly cutFromPlatform = new Set<string>();
   private instances: simulatedInstance.SimulatedInstance[] = [];
-  private lastAnswering: simulatedInstance.SimulatedInstance | undefined;
-  private starts = 0;
-  private attempts = 0;
-  private outUntil = 0;
-  private isDeaf = false;
-  private quiet = false;
+  private lastAnsweredBy: simulatedInstance.SimulatedInstance | undefined;
+  private startedInstances = 0;
+  private startedAttempts = 0;
+  private outageEndsAtMs = 0;
+  private outageLosesAnswers = false;
+  private isSettling = false;
 
   constructor(
     private readonly seed: number,
@@ -73,7 +73,7 @@
       silentSince: incarnation => this.silent.get(incarnation),
     });
     this.peers = options.wrapPeers?.(network) ?? network;
-    this.seenStore = options.wrapStore?.(this.store) ?? this.store;
+    this.instanceStore = options.wrapStore?.(this.store) ?? this.store;
   }
 
   async run(): Promise<histories.History> {
@@ -85,16 +85,16 @@
       this.schedule(fault.atMs, () => this.inject(fault));
     }
     await this.clock.advance(RUN_MS);
-    this.quiet = true;
-    await this.clock.advance(QUIET_MS);
-    await this.noteBills();
-    await this.noteOrphans();
+    this.isSettling = true;
+    await this.clock.advance(SETTLE_MS);
+    await this.recordBills();
+    await this.recordOrphanedClaims();
     const {seed, events} = this;
     return {seed, events, calls: {...this.store.calls}};
   }
 
   private startInstance(zone: string): void {
-    const incarnation = `instance-${this.starts++}`;
+    const incarnation = `instance-${this.startedInstances++}`;
     const instance = new simulatedInstance.SimulatedInstance({
       incarnation,
       zone,
@@ -108,9 +108,9 @@
     instance.start();
   }
 
-  /** An instance's own way to the platform, which can be cut. */
+  /** The object API over an instance's own connection, which can be cut. */
   private createConnection(incarnation: string): ports.ObjectStore {
-    const store = this.seenStore;
+    const store = this.instanceStore;
     const call = async <T>(
       make: () => Promise<ports.StoreResult<T>>,
     ): Promise<ports.StoreResult<T>> => {
@@ -147,7 +147,7 @@
     }
   }
 
-  /** Callers retry after a while, or on several instances at one moment. */
+  /** Callers retry later, or on several instances almost at once. */
   private scheduleAttempts(request: serveRequest.CallerRequest): void {
     const count = request.idempotent ? 1 : this.draw(4) + 1;
     const spreadMs = this.random() < 0.5 ? 10 : 10_000;
@@ -163,7 +163,7 @@
     if (!instance) {
       return;
     }
-    const attempt = `attempt-${this.attempts++}`;
+    const attempt = `attempt-${this.startedAttempts++}`;
     const common = {
       identity: request.identity.name,
       attempt,
@@ -172,23 +172,23 @@
     const serve = this.options.serve ?? serveRequest.serveRequest;
     instance.inProgress++;
     const answer = serve(instance, request, {
-      isGivenUp: () => this.random() < GIVE_UP_RATE,
+      isDroppedByAdmission: () => this.random() < GIVE_UP_RATE,
       wallTime: () => this.clock.wallTime(),
       send: () => {
         const {idempotent} = request;
-        this.note({type: 'sent', atMs: this.now(), ...common, idempotent});
-        return instance.lifeline.guard(this.answer());
+        this.record({type: 'sent', atMs: this.now(), ...common, idempotent});
+        return instance.control.guard(this.answer());
       },
     });
-    const told = await instance.lifeline.guard(answer);
+    const told = await instance.control.guard(answer);
     instance.inProgress--;
-    this.lastAnswering = told === 'answered' ? instance : this.lastAnswering;
-    this.note({type: 'told', atMs: this.now(), ...common, told});
+    this.lastAnsweredBy = told === 'answered' ? instance : this.lastAnsweredBy;
+    this.record({type: 'told', atMs: this.now(), ...common, told});
   }
 
   private async answer(): Promise<serveRequest.UpstreamAnswer> {
     await this.clock.sleep(1 + this.random() * 500);
-    return this.random() < CUT_RATE ? 'cut' : 'answered';
+    return this.random() < UPSTREAM_CUT_RATE ? 'cut' : 'answered';
   }
 
   private inject(fault: faultPlan.PlannedFault): void {
@@ -203,9 +203,12 @@
         void this.restart();
         return;
       case 'outage':
-        this.noteFault(`platform out for ${Math.round(fault.ms)} ms`);
-        this.outUntil = Math.max(this.outUntil, this.now() + fault.ms);
-        this.isDeaf = fault.deaf;
+        this.recordFault(`platform out for ${Math.round(fault.ms)} ms`);
+        this.outageEndsAtMs = Math.max(
+          this.outageEndsAtMs,
+          this.now() + fault.ms,
+        );
+        this.outageLosesAnswers = fault.losesAnswers;
         return;
       case 'isolation':
         this.isolate(fault);
@@ -213,24 +216,23 @@
     }
   }
 
-  /** Kills an instance, or with it all others of its zone. */
+  /** Kills one instance, or all instances of its zone. */
   private kill(wholeZone: boolean, afterAnswer: boolean): void {
-    const last = this.lastAnswering;
-    const victim =
-      afterAnswer && last?.lifeline.alive ? last : this.drawAlive();
+    const last = this.lastAnsweredBy;
+    const victim = afterAnswer && last?.control.alive ? last : this.drawAlive();
     const victims = this.instances.filter(
       instance =>
-        instance.lifeline.alive &&
+        instance.control.alive &&
         (instance === victim || (wholeZone && instance.zone === victim?.zone)),
     );
     for (const instance of victims) {
-      this.noteFault(`kill ${instance.incarnation} in ${instance.zone}`);
-      this.end(instance);
+      this.recordFault(`kill ${instance.incarnation} in ${instance.zone}`);
+      this.terminate(instance);
     }
   }
 
-  private end(instance: simulatedInstance.SimulatedInstance): void {
-    instance.lifeline.kill();
+  private terminate(instance: simulatedInstance.SimulatedInstance): void {
+    instance.control.kill();
     this.silent.set(instance.incarnation, this.now());
     this.schedule(this.random() * 10_000, () =>
       this.startInstance(instance.zone),
@@ -242,10 +244,10 @@
     if (!instance) {
       return;
     }
-    this.noteFault(`restart ${instance.incarnation}`);
-    await instance.lifeline.guard(instance.leave());
-    this.noteFault(`left ${instance.incarnation}`);
-    this.end(instance);
+    this.recordFault(`restart ${instance.incarnation}`);
+    await instance.control.guard(instance.leave());
+    this.recordFault(`left ${instance.incarnation}`);
+    this.terminate(instance);
   }
 
   private pause(ms: number): void {
@@ -253,55 +255,55 @@
     if (!instance) {
       return;
     }
-    instance.lifeline.pause(ms);
-    this.noteFault(`pause ${instance.incarnation} for ${Math.round(ms)} ms`);
-    this.silence(instance, ms);
+    instance.control.pause(ms);
+    this.recordFault(`pause ${instance.incarnation} for ${Math.round(ms)} ms`);
+    this.markSilent(instance, ms);
   }
 
   private isolate(
     fault: Extract<faultPlan.PlannedFault, {kind: 'isolation'}>,
   ): void {
-    const {ms, fromPlatform, endsInKill} = fault;
+    const {ms, alsoFromPlatform, endsInKill} = fault;
     const instance = this.drawAlive();
     if (!instance) {
       return;
     }
     const {incarnation} = instance;
-    this.noteFault(`cut ${incarnation} for ${Math.round(ms)} ms`);
+    this.recordFault(`cut ${incarnation} for ${Math.round(ms)} ms`);
     instance.isIsolated = true;
-    if (fromPlatform) {
+    if (alsoFromPlatform) {
       this.cutFromPlatform.add(incarnation);
     }
     this.schedule(ms, () => {
-      if (endsInKill && instance.lifeline.alive) {
-        this.noteFault(`kill ${incarnation}, still cut`);
-        this.end(instance);
+      if (endsInKill && instance.control.alive) {
+        this.recordFault(`kill ${incarnation}, still cut`);
+        this.terminate(instance);
       }
       instance.isIsolated = false;
       this.cutFromPlatform.delete(incarnation);
     });
-    this.silence(instance, ms);
+    this.markSilent(instance, ms);
   }
 
-  /** Peers hear nothing of an instance for a time. */
-  private silence(
+  /** Lets peers see an instance as silent for a time. */
+  private markSilent(
     instance: simulatedInstance.SimulatedInstance,
     ms: number,
   ): void {
-    const {incarnation, lifeline} = instance;
+    const {incarnation, control} = instance;
     this.silent.set(incarnation, this.silent.get(incarnation) ?? this.now());
     this.schedule(ms, () => {
-      if (lifeline.alive && !lifeline.isPaused() && !instance.isIsolated) {
+      if (control.alive && !control.isPaused() && !instance.isIsolated) {
         this.silent.delete(incarnation);
       }
     });
   }
 
   private drawFault(operation: fakes.StoreOperation): fakes.StoreFault {
-    if (this.quiet) {
+    if (this.isSettling) {
       return 'none';
     }
-    if (this.now() < this.outUntil) {
+    if (this.now() < this.outageEndsAtMs) {
       return this.drawOutageFault();
     }
     const {down, lost, stale} = this.plan.rates;
@@ -317,7 +319,7 @@
   }
 
   private drawOutageFault(): fakes.StoreFault {
-    if (this.isDeaf) {
+    if (this.outageLosesAnswers) {
       return 'lost_after';
     }
     return this.random() < 0.7 ? 'down' : 'lost_before';
@@ -325,22 +327,22 @@
 
   /** A slow call takes effect after its caller's timeout. */
   private drawDelay(): number {
-    const slow = !this.quiet && this.random() < this.plan.rates.slow;
+    const slow = !this.isSettling && this.random() < this.plan.rates.slow;
     return slow ? 900 + this.random() * 4_000 : 1 + this.random() * 6;
   }
 
-  private async noteBills(): Promise<void> {
+  private async recordBills(): Promise<void> {
     const objects = await this.list(ledger.BILL_KIND);
     for (const object of objects) {
       for (const bill of ledger.readBillSegment(object.value)?.bills ?? []) {
         const {identity, cost} = bill;
-        this.note({type: 'billed', identity, cost});
+        this.record({type: 'billed', identity, cost});
       }
     }
   }
 
-  /** Claims that stand though their request was never sent. */
-  private async noteOrphans(): Promise<void> {
+  /** Records the claims that remain although their request was never sent. */
+  private async recordOrphanedClaims(): Promise<void> {
     const sent = new Set(
       this.events.flatMap(event =>
         event.type === 'sent' ? [event.identity] : [],
@@ -350,9 +352,9 @@
     for (const {name, value} of objects.filter(({name}) => !sent.has(name))) {
       const owner = ledger.readClaimRecord(value)?.incarnation ?? '';
       const ownerAlive = this.instances.some(
-        instance => instance.incarnation === owner && instance.lifeline.alive,
+        instance => instance.incarnation === owner && instance.control.alive,
       );
-      this.note({type: 'orphaned', identity: name, ownerAlive});
+      this.record({type: 'orphaned', identity: name, ownerAlive});
     }
   }
 
@@ -364,7 +366,7 @@
 
   private drawAlive(): simulatedInstance.SimulatedInstance | undefined {
     const alive = this.instances.filter(
-      instance => instance.lifeline.alive && !instance.isLeaving,
+      instance => instance.control.alive && !instance.isLeaving,
     );
     return alive[this.draw(alive.length)];
   }
@@ -381,12 +383,12 @@
     return this.clock.now();
   }
 
-  private note(event: histories.HistoryEvent): void {
+  private record(event: histories.HistoryEvent): void {
     this.events.push(event);
   }
 
-  private noteFault(fault: string): void {
-    this.note({type: 'fault', atMs: this.now(), fault});
+  private recordFault(fault: string): void {
+    this.record({type: 'fault', atMs: this.now(), fault});
   }
 }
 
--- a/packages/bench/src/histories/serve-request.ts
+++ b/packages/bench/src/histories/serve-request.ts
@@ -1,33 +1,33 @@
-/** The steps of one attempt at a request on one instance. */
+/** Serves one attempt at a request on a simulated instance. */
 import type * as ledger from '@amaranthknot/ledger';
 import type * as simulatedInstance from './simulated-instance.js';
 import type * as histories from './history.js';
 
-/** One request of a caller, which may come several times. */
+/** A caller's request, which may arrive several times. */
 export interface CallerRequest {
   readonly identity: ledger.RequestIdentity;
   readonly fingerprint: string;
   readonly idempotent: boolean;
 }
 
-/** What the upstream did with a request. */
+/** Whether the upstream answered, or the connection broke after the send. */
 export type UpstreamAnswer = 'answered' | 'cut';
 
-/** What an attempt does to the world outside its instance. */
-export interface Outside {
-  /** Whether admission gives the request up after its claim. */
-  readonly isGivenUp: () => boolean;
-  /** Sends the request; the history notes it. */
+/** What an attempt needs from the simulation outside its instance. */
+export interface AttemptEnvironment {
+  /** Whether admission drops the request after its claim was granted. */
+  readonly isDroppedByAdmission: () => boolean;
+  /** Sends the request to an upstream, and records that in the history. */
   readonly send: () => Promise<UpstreamAnswer>;
   readonly wallTime: () => number;
 }
 
-/** Serves one attempt; the result is what its caller is told. */
-export type Service = (
+/** Serves one attempt and returns what its caller is told. */
+export type AttemptHandler = (
   instance: simulatedInstance.SimulatedInstance,
   request: CallerRequest,
-  outside: Outside,
-) => Promise<histories.Told>;
+  environment: AttemptEnvironment,
+) => Promise<histories.AttemptResult>;
 
 const ANSWER: ledger.ClaimOutcome = {
   kind: 'answer',
@@ -35,23 +35,30 @@
   body: 'booked',
 };
 
-const createBill = (request: CallerRequest, outside: Outside): ledger.Bill => ({
+const createBill = (
+  request: CallerRequest,
+  environment: AttemptEnvironment,
+): ledger.Bill => ({
   identity: request.identity.name,
   workspace: request.identity.workspace,
   model: 'booking',
   version: 'v1',
   cost: 1,
   tokens: 0,
-  atWallMs: outside.wallTime(),
+  atWallMs: environment.wallTime(),
 });
 
-/** The order of steps that the entry package keeps. */
-export const serveRequest: Service = async (instance, request, outside) => {
+/** Serves an attempt by the same order of steps as the entry package. */
+export const serveRequest: AttemptHandler = async (
+  instance,
+  request,
+  environment,
+) => {
   if (instance.bills.mayAccept().isLeft()) {
     return 'not_run';
   }
   if (request.idempotent) {
-    return runOnce(instance, request, outside);
+    return runOnce(instance, request, environment);
   }
   const result = await instance.claims.claim(
     request.identity,
@@ -59,7 +66,7 @@
   );
   switch (result.kind) {
     case 'granted':
-      return runClaimed(instance, request, outside, result.claim);
+      return runClaimed(instance, request, environment, result.claim);
     case 'already':
       return result.state === 'finished' ? 'replayed' : 'unknown';
     case 'mismatch':
@@ -72,29 +79,31 @@
 const runClaimed = async (
   instance: simulatedInstance.SimulatedInstance,
   request: CallerRequest,
-  outside: Outside,
+  environment: AttemptEnvironment,
   claim: ledger.Claim,
-): Promise<histories.Told> => {
-  if (outside.isGivenUp()) {
+): Promise<histories.AttemptResult> => {
+  if (environment.isDroppedByAdmission()) {
     await instance.claims.abandon(claim);
     return 'not_run';
   }
-  const told = await runOnce(instance, request, outside);
-  // The answer is recorded after its bill: a replay must find it billed.
-  if (told === 'answered') {
+  const result = await runOnce(instance, request, environment);
+  // The answer is recorded after its bill, so that every replay is billed.
+  if (result === 'answered') {
     await instance.claims.finish(claim, ANSWER);
   }
-  return told;
+  return result;
 };
 
 const runOnce = async (
   instance: simulatedInstance.SimulatedInstance,
   request: CallerRequest,
-  outside: Outside,
-): Promise<histories.Told> => {
-  if ((await outside.send()) === 'cut') {
+  environment: AttemptEnvironment,
+): Promise<histories.AttemptResult> => {
+  if ((await environment.send()) === 'cut') {
     return 'unknown';
   }
-  const recorded = await instance.bills.record(createBill(request, outside));
+  const recorded = await instance.bills.record(
+    createBill(request, environment),
+  );
   return recorded === 'at_risk' ? 'unknown' : 'answered';
 };
--- a/packages/bench/src/histories/simulated-instance.ts
+++ b/packages/bench/src/histories/simulated-instance.ts
@@ -1,11 +1,11 @@
-/** One entry instance of a simulated run, with the product's own ledger. */
+/** A simulated entry instance that runs the real claim and bill ledgers. */
 import * as ledger from '@amaranthknot/ledger';
 import type * as ports from '@amaranthknot/ports';
-import * as lifelines from './lifeline.js';
+import * as processControl from './process-control.js';
 
-/** What an instance reaches of its peers. */
+/** Access of an instance to its peers. */
 export interface Peers {
-  /** Live peers in other zones as this instance believes, best first. */
+  /** Peers in other zones that `self` believes to be alive, best first. */
   candidates(self: SimulatedInstance): readonly ledger.ReplicaCandidate[];
   isBelievedDead(incarnation: string): boolean;
   send(
@@ -13,14 +13,14 @@
     peer: string,
     batch: ledger.CopyBatch,
   ): Promise<boolean>;
-  askOwner(
+  queryOwner(
     from: SimulatedInstance,
     incarnation: string,
     owner: string,
   ): Promise<ledger.OwnerStatus>;
 }
 
-/** What a simulated instance is made of. */
+/** Identity and dependencies of a simulated instance. */
 export interface SimulatedInstanceOptions {
   readonly incarnation: string;
   readonly zone: string;
@@ -31,43 +31,43 @@
   readonly flushIntervalMs: number;
 }
 
-/** So few that a lane needs several segments. */
+/** Small, so that a lane needs several segments. */
 const MAX_SEGMENT_BILLS = 4;
 
-const ROUND_MS = 1_000;
+const MAINTENANCE_INTERVAL_MS = 1_000;
 
 /** An entry instance that can be killed or paused between any two steps. */
 export class SimulatedInstance {
-  readonly lifeline: lifelines.Lifeline;
+  readonly control: processControl.ProcessControl;
   readonly claims: ledger.ClaimLedger;
   readonly bills: ledger.BillLedger;
   readonly holder: ledger.CopyStore;
-  private readonly copies: ledger.BillReplicator;
+  private readonly replicator: ledger.BillReplicator;
   private readonly clock: ports.Clock;
-  /** Attempts that this instance serves now. */
+  /** Number of attempts in progress. */
   inProgress = 0;
   isLeaving = false;
-  /** Whether no message reaches or leaves it. */
+  /** Whether all messages to and from this instance are lost. */
   isIsolated = false;
   private tokens = 0;
 
   constructor(private readonly options: SimulatedInstanceOptions) {
     const {incarnation, peers, random} = options;
-    this.lifeline = new lifelines.Lifeline(options.clock);
-    this.clock = this.lifeline.guardClock();
-    const store = this.lifeline.guardStore(options.store);
+    this.control = new processControl.ProcessControl(options.clock);
+    this.clock = this.control.guardClock();
+    const store = this.control.guardStore(options.store);
     const shared = {store, clock: this.clock, random, incarnation};
     this.claims = new ledger.ClaimLedger({
       ...shared,
       newToken: () => `${incarnation}#${this.tokens++}`,
       queryOwner: (owner, token) =>
-        this.lifeline.guard(peers.askOwner(this, owner, token)),
+        this.control.guard(peers.queryOwner(this, owner, token)),
     });
     this.holder = new ledger.CopyStore({clock: this.clock});
-    this.copies = new ledger.BillReplicator({
+    this.replicator = new ledger.BillReplicator({
       quorum: ledger.DEFAULT_BILL_LIMITS.copyQuorum,
       candidates: () => peers.candidates(this),
-      send: (peer, batch) => this.lifeline.guard(peers.send(this, peer, batch)),
+      send: (peer, batch) => this.control.guard(peers.send(this, peer, batch)),
       pending: () => this.bills.pending(),
     });
     this.bills = new ledger.BillLedger({
@@ -76,7 +76,7 @@
         flushIntervalMs: options.flushIntervalMs,
         maxSegmentBills: MAX_SEGMENT_BILLS,
       },
-      copyToPeers: batch => this.copies.replicate(batch),
+      copyToPeers: batch => this.replicator.replicate(batch),
     });
   }
 
@@ -88,18 +88,18 @@
     return this.options.zone;
   }
 
-  /** Starts the loops that the product's wiring runs. */
+  /** Starts the background loops that an entry instance runs. */
   start(): void {
     const never = new AbortController();
     void this.bills.run(never.signal);
-    void this.runRounds();
+    void this.runMaintenance();
   }
 
-  /** Leaves as in a graceful shutdown; waits as long as the platform is out. */
+  /** Shuts down gracefully; waits until the platform is available. */
   async leave(): Promise<void> {
     this.isLeaving = true;
     while (this.inProgress > 0) {
-      await this.clock.sleep(ROUND_MS);
+      await this.clock.sleep(MAINTENANCE_INTERVAL_MS);
     }
     await ledger.drainLedger({
       clock: this.clock,
@@ -110,16 +110,18 @@
     });
   }
 
-  private async runRounds(): Promise<void> {
+  private async runMaintenance(): Promise<void> {
     for (;;) {
-      await this.clock.sleep(ROUND_MS * (0.5 + this.options.random()));
-      await this.runRound();
+      await this.clock.sleep(
+        MAINTENANCE_INTERVAL_MS * (0.5 + this.options.random()),
+      );
+      await this.runMaintenanceRound();
     }
   }
 
-  private async runRound(): Promise<void> {
+  private async runMaintenanceRound(): Promise<void> {
     const {peers} = this.options;
-    await this.copies.refreshReplicas(this.incarnation);
+    await this.replicator.refreshReplicas(this.incarnation);
     await this.holder.recoverDead(
       incarnation => peers.isBelievedDead(incarnation),
       (incarnation, pending) => this.bills.recover(incarnation, pending),
--- a/packages/bench/src/histories/simulated-network.ts
+++ b/packages/bench/src/histories/simulated-network.ts
@@ -1,25 +1,25 @@
-/** Messages between simulated instances, late or lost. */
+/** Delays and drops messages between simulated instances. */
 import type * as ledger from '@amaranthknot/ledger';
 import type * as ports from '@amaranthknot/ports';
 import type * as simulatedInstance from './simulated-instance.js';
 
-/** How the network behaves. */
+/** Dependencies and faults of the network. */
 export interface NetworkOptions {
   readonly clock: ports.Clock;
   readonly random: () => number;
-  /** Share of messages lost, and as many answers. */
+  /** Fraction of requests lost, and of answers. */
   readonly lossRate: number;
   readonly instances: () => readonly simulatedInstance.SimulatedInstance[];
-  /** Since when an instance has been silent; undefined when it answers. */
+  /** When an instance stopped answering; undefined while it answers. */
   readonly silentSince: (incarnation: string) => number | undefined;
 }
 
 const MESSAGE_TIMEOUT_MS = 250;
 
-/** Silence after which peers believe an instance dead. */
-const SUSPICION_MS = 3_000;
+/** Time without an answer after which peers believe an instance dead. */
+const SUSPICION_TIMEOUT_MS = 3_000;
 
-/** The network and the view of it that membership gives. */
+/** Delivers messages, and tells instances which peers are alive. */
 export class SimulatedNetwork implements simulatedInstance.Peers {
   constructor(private readonly options: NetworkOptions) {}
 
@@ -36,7 +36,7 @@
   isBelievedDead(incarnation: string): boolean {
     const since = this.options.silentSince(incarnation);
     const now = this.options.clock.now();
-    return since !== undefined && now - since >= SUSPICION_MS;
+    return since !== undefined && now - since >= SUSPICION_TIMEOUT_MS;
   }
 
   send(
@@ -44,17 +44,17 @@
     peer: string,
     batch: ledger.CopyBatch,
   ): Promise<boolean> {
-    return this.ask(from, peer, false, receiver =>
+    return this.call(from, peer, false, receiver =>
       receiver.holder.store(batch),
     );
   }
 
-  askOwner(
+  queryOwner(
     from: simulatedInstance.SimulatedInstance,
     incarnation: string,
     owner: string,
   ): Promise<ledger.OwnerStatus> {
-    return this.ask<ledger.OwnerStatus>(
+    return this.call<ledger.OwnerStatus>(
       from,
       incarnation,
       'no_answer',
@@ -62,10 +62,10 @@
     );
   }
 
-  private ask<T>(
+  private call<T>(
     from: simulatedInstance.SimulatedInstance,
     incarnation: string,
-    timedOut: T,
+    timeoutResult: T,
     handle: (receiver: simulatedInstance.SimulatedInstance) => T,
   ): Promise<T> {
     const {clock} = this.options;
@@ -73,7 +73,7 @@
       .instances()
       .find(instance => instance.incarnation === incarnation);
     return new Promise(resolve => {
-      void clock.sleep(MESSAGE_TIMEOUT_MS).then(() => resolve(timedOut));
+      void clock.sleep(MESSAGE_TIMEOUT_MS).then(() => resolve(timeoutResult));
       if (receiver) {
         const isCut = () => from.isIsolated || receiver.isIsolated;
         void this.deliver(receiver, isCut, handle, resolve);
@@ -87,19 +87,19 @@
     handle: (receiver: simulatedInstance.SimulatedInstance) => T,
     answer: (value: T) => void,
   ): Promise<void> {
-    await this.travel();
+    await this.awaitTransit();
     if (isCut() || this.isLost()) {
       return;
     }
-    receiver.lifeline.deliver(() => {
+    receiver.control.deliver(() => {
       const value = handle(receiver);
       if (!isCut() && !this.isLost()) {
-        void this.travel().then(() => answer(value));
+        void this.awaitTransit().then(() => answer(value));
       }
     });
   }
 
-  private travel(): Promise<void> {
+  private awaitTransit(): Promise<void> {
     return this.options.clock.sleep(0.5 + this.options.random() * 4);
   }
 
--- a/packages/bench/src/main.ts
+++ b/packages/bench/src/main.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a bench: `npm run bench -- NAME [--seed N] [--json]`; without a name
- * it lists the benches.
+ * Command that runs a bench: `npm run bench -- NAME [--seed N] [--json]`.
+ * Without a name it lists the benches.
  */
 import * as fs from 'node:fs/promises';
 import * as meow from 'meow';
--- a/packages/bench/src/models/baselines.ts
+++ b/packages/bench/src/models/baselines.ts
@@ -1,9 +1,9 @@
-/** The simplest ways to decide, to which the benches compare. */
+/** The simplest admission and placement, which benches compare with. */
 import * as decisions from '@amaranthknot/decisions';
 import type * as entryModel from './entry-model.js';
 
-/** First come, first served, without bound or deadline. */
-export const createFifoGate = (capacity: number): entryModel.Gate => {
+/** Admits in order of arrival, without queue bound or deadline. */
+export const createFifoAdmission = (capacity: number): entryModel.Admission => {
   const waiting: decisions.AdmissionRequest[] = [];
   const running = new Set<string>();
   let first = 0;
@@ -41,11 +41,11 @@
   };
 };
 
-/** Any upstream, with equal chance. */
-export const createRandomChooser = (
+/** Chooses an upstream uniformly at random. */
+export const createRandomPlacement = (
   ids: readonly string[],
   random: () => number,
-): entryModel.Chooser => ({
+): entryModel.Placement => ({
   choose: () => ({
     kind: 'placed',
     upstreamId: ids[Math.floor(random() * ids.length)] ?? '',
--- a/packages/bench/src/models/call-counter.ts
+++ b/packages/bench/src/models/call-counter.ts
@@ -1,14 +1,14 @@
-/** Calls to the object API by second and kind. */
+/** Counts calls to the object API by second and kind. */
 import type * as fakes from '@amaranthknot/fakes';
 import type * as ports from '@amaranthknot/ports';
 
-/** Whether a call reads, writes, or waits for changes. */
+/** Reads, writes, or waits for changes. */
 export type CallKind = 'read' | 'write' | 'watch';
 
-/** Calls in one second, by `kind of call/kind of object`. */
+/** Calls in one second, by `<kind of call>_<kind of object>`. */
 export type SecondOfCalls = Readonly<Record<string, number>>;
 
-const kindOf = (operation: fakes.StoreOperation): CallKind => {
+const classifyOperation = (operation: fakes.StoreOperation): CallKind => {
   switch (operation) {
     case 'get':
     case 'list':
@@ -28,17 +28,17 @@
 
   constructor(private readonly clock: ports.Clock) {}
 
-  /** Notes one call. */
-  note(operation: fakes.StoreOperation, kind: string): void {
+  /** Adds one call to the current second. */
+  record(operation: fakes.StoreOperation, kind: string): void {
     const second = Math.floor(this.clock.now() / 1_000);
     const calls = this.seconds.get(second) ?? {};
-    const name = `${kindOf(operation)}_${kind}`;
+    const name = `${classifyOperation(operation)}_${kind}`;
     calls[name] = (calls[name] ?? 0) + 1;
     this.seconds.set(second, calls);
   }
 
-  /** Calls of each second from `fromMs` to before `toMs`. */
-  between(fromMs: number, toMs: number): readonly SecondOfCalls[] {
+  /** Counts of each second from `fromMs` up to, but not including, `toMs`. */
+  countsBetween(fromMs: number, toMs: number): readonly SecondOfCalls[] {
     const from = Math.floor(fromMs / 1_000);
     const length = Math.floor(toMs / 1_000) - from;
     return Array.from(
@@ -48,11 +48,11 @@
   }
 }
 
-/** All calls of a second. */
+/** Total calls in a second. */
 export const sumSecond = (second: SecondOfCalls): number =>
   Object.values(second).reduce((sum, calls) => sum + calls, 0);
 
-/** Mean calls a second by kind; sorted by name. */
+/** Mean calls per second by kind, sorted by name. */
 export const meanByKind = (
   seconds: readonly SecondOfCalls[],
 ): readonly (readonly [string, number])[] => {
--- a/packages/bench/src/models/cascade-workload.ts
+++ b/packages/bench/src/models/cascade-workload.ts
@@ -1,11 +1,12 @@
 /**
- * Workload of the `cascade` bench: workspaces with unlike kinds of task, each
- * answered by three models whose chance to pass falls with a request's
- * difficulty, and whose own score tells more or less about it.
+ * Workload of the `cascade` bench: workspaces with different kinds of task.
+ * Each request is answered by three models; the probability of a good answer
+ * falls with the request's difficulty, and the score of an answer is more or
+ * less informative.
  */
 import * as coarseRandom from './coarse-random.js';
 
-/** Models from cheap to capable with the cost of one answer. */
+/** Models from cheap to capable, with the cost of one answer. */
 export const STAGES = [
   {model: 'small', cost: 1},
   {model: 'medium', cost: 4},
@@ -15,22 +16,25 @@
 /** A kind of task in one workspace. */
 export interface TaskKind {
   readonly name: string;
-  /** Log odds to pass at middling difficulty, by stage, before the drift. */
+  /** Log odds of a good answer at mean difficulty, by stage, before the drift. */
   readonly skills: readonly number[];
-  /** Change of each skill half way. */
+  /** Change of each stage's skill in the second half of the run. */
   readonly drift: readonly number[];
-  /** How far the score of a good answer lies from a bad one's; 0: no score. */
+  /**
+   * Mean score of a good answer, in log odds; a bad answer's is its negative.
+   * 0: no score.
+   */
   readonly scoreGap: number;
 }
 
-/** A workspace with its target. */
+/** A workspace with its quality target and tasks. */
 export interface WorkspaceLoad {
   readonly name: string;
   readonly target: number;
   readonly tasks: readonly TaskKind[];
 }
 
-/** Requests of one task in one half of the run, with every stage's answer. */
+/** The requests of a task in one half of the run, with each stage's answers. */
 export interface TaskRun {
   readonly task: string;
   readonly count: number;
@@ -40,10 +44,10 @@
   readonly scores: Float32Array;
 }
 
-/** Spread of difficulty within one kind of task, in log odds. */
-const DIFFICULTY = 1.2;
+/** Standard deviation of the difficulty within a kind of task, in log odds. */
+const DIFFICULTY_DEVIATION = 1.2;
 
-const GAPS = [1.3, 0.9, 0.6, 0] as const;
+const SCORE_GAPS = [1.3, 0.9, 0.6, 0] as const;
 
 const drawNormal = (random: () => number): number =>
   Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
@@ -57,17 +61,17 @@
   const cheap = ease + 0.6 * (random() - 0.5);
   const medium = Math.max(cheap + 0.4, 1.4 + 0.5 * ease + 0.4 * random());
   const large = 4.2 + 0.3 * random();
-  // Half of the workspaces see the cheap models get worse, half better.
+  // The cheap models get worse in half of the workspaces, better in the others.
   const sign = workspace % 2 === 0 ? -1 : 1;
   return {
     name: `task-${index}`,
     skills: [cheap, medium, large],
     drift: [sign * (0.6 + 0.6 * random()), sign * 0.4 * random(), -0.15],
-    scoreGap: GAPS[(workspace + index) % GAPS.length] ?? 0,
+    scoreGap: SCORE_GAPS[(workspace + index) % SCORE_GAPS.length] ?? 0,
   };
 };
 
-/** Draws workspaces with three kinds of task each. */
+/** Draws workspaces, each with three kinds of task. */
 export const createWorkspaces = (
   count: number,
   random: () => number,
@@ -90,7 +94,7 @@
   return Math.round(100 / (1 + Math.exp(-x))) / 100;
 };
 
-/** Draws the answers of all stages to `count` requests. */
+/** Draws the answers and scores of all stages for `count` requests. */
 export const drawTaskRun = (
   task: TaskKind,
   drifted: boolean,
@@ -101,7 +105,7 @@
   const good = new Uint8Array(count * STAGES.length);
   const scores = new Float32Array(count * STAGES.length);
   for (let i = 0; i < count; i++) {
-    const difficulty = DIFFICULTY * drawNormal(random);
+    const difficulty = DIFFICULTY_DEVIATION * drawNormal(random);
     for (let stage = 0; stage < STAGES.length; stage++) {
       const skill =
         (task.skills[stage] ?? 0) + (drifted ? (task.drift[stage] ?? 0) : 0);
--- a/packages/bench/src/models/cold-upstream.ts
+++ b/packages/bench/src/models/cold-upstream.ts
@@ -1,74 +1,74 @@
 /**
- * A cold upstream and the entry instances that want to use it: their views of
- * each other differ, answers get lost, instances are replaced. Time goes on
+ * Simulates a cold upstream and the entry instances that use it. Their views of
+ * each other differ, messages are lost and instances are replaced. Time advances
  * in ticks.
  */
 import * as decisions from '@amaranthknot/decisions';
 import * as seededRandom from '@amaranthknot/fakes';
 
-/** What a run goes through. */
+/** Conditions of a run. */
 export interface WarmUpScenario {
   readonly instances: number;
   readonly curve: decisions.WarmUpCurve;
   readonly timing: decisions.WarmUpTiming;
-  /** Mean length of one piece of work, in milliseconds. */
+  /** Mean duration of a request, in milliseconds. */
   readonly workMs: number;
-  /** Mean time between replaced instances, in milliseconds. */
+  /** Mean time between replacements of an instance, in milliseconds. */
   readonly replaceEveryMs: number;
-  /** Longest lag of an instance's view, in milliseconds. */
+  /** Maximum lag of an instance's view, in milliseconds. */
   readonly viewLagMs: number;
-  /** Share of messages between instances that are lost. */
+  /** Fraction of messages between instances that are lost. */
   readonly lost: number;
-  /** When the upstream turns cold again; undefined for never. */
+  /** When the upstream becomes cold again; undefined for never. */
   readonly coldAgainAtMs?: number;
-  /** Longest time until an instance notices by itself, in milliseconds. */
-  readonly noticeMs?: number;
+  /** Longest time until an instance notices that by itself, in milliseconds. */
+  readonly maxNoticeMs?: number;
   readonly lengthMs: number;
 }
 
-/** What came of a run. */
+/** Result of a run. */
 export interface WarmUpRun {
-  /** Highest work in progress, as a ratio to what the upstream bears. */
-  readonly highestRatio: number;
-  /** Ticks in which the bound was exceeded by newly sent work. */
-  readonly ticksAbove: number;
-  /** When the work in progress first reached nine tenths of full use. */
+  /** Highest ratio of the requests in progress to the upstream's capacity. */
+  readonly maxLoadRatio: number;
+  /** Ticks in which newly sent requests exceeded the capacity. */
+  readonly ticksOverCapacity: number;
+  /** When requests in progress first reached `FULL_USE_FRACTION` of all slots. */
   readonly fullAtMs: number;
-  /** Messages to issuers. */
+  /** Requests for grants sent to issuers. */
   readonly messages: number;
-  /** From cold again to the last work sent above the bound. */
-  readonly cutMs: number;
+  /** Time from becoming cold to the last request sent above the capacity. */
+  readonly lastExcessMs: number;
 }
 
 /** Length of a tick, in milliseconds. */
 export const TICK_MS = 100;
-const FULL_USE = 0.9;
+const FULL_USE_FRACTION = 0.9;
 const UPSTREAM = 'upstream-a';
 
 interface Work {
   readonly endsAtMs: number;
 }
 
-/** An entry instance of the model. */
+/** An entry instance that sends to the upstream. */
 export interface Sender {
   readonly id: string;
-  readonly bornAtMs: number;
+  readonly startedAtMs: number;
   work: Work[];
   grant: decisions.HeldGrant | undefined;
   nextAskMs: number;
   /** When it notices that the upstream is cold again. */
-  noticesAtMs: number;
-  /** Issuer state, if it ever believed itself first. */
+  noticesColdAtMs: number;
+  /** State as issuer of grants; undefined if it has not been the issuer. */
   issuer: decisions.WarmUpIssuer | undefined;
 }
 
 interface Change {
   readonly atMs: number;
   readonly gone: string;
-  readonly come: string;
+  readonly added: string;
 }
 
-/** Slots that a sender may use now; the policy under test. */
+/** Policy under test: the slots that a sender may use now. */
 export type Allowance = (
   sender: Sender,
   ranks: readonly string[],
@@ -93,33 +93,35 @@
     );
   }
 
-  replaceOne(nowMs: number): void {
+  replaceRandomSender(nowMs: number): void {
     const index = Math.floor(this.random() * this.senders.length);
     const gone = this.senders[index];
-    const come = this.createSender(`entry-${this.nextId++}`, nowMs);
+    const added = this.createSender(`entry-${this.nextId++}`, nowMs);
     if (gone) {
-      this.senders[index] = come;
-      this.changes.push({atMs: nowMs, gone: gone.id, come: come.id});
+      this.senders[index] = added;
+      this.changes.push({atMs: nowMs, gone: gone.id, added: added.id});
     }
   }
 
-  /** Ids that a sender believes to be live: changes reach it late. */
+  /** Ids that a sender believes to be live; it sees changes late. */
   findView(sender: Sender, nowMs: number): readonly string[] {
     const ids = new Set(this.senders.map(other => other.id));
-    for (const change of this.changes.slice(this.countSeen(sender, nowMs))) {
-      ids.delete(change.come);
+    for (const change of this.changes.slice(
+      this.countSeenChanges(sender, nowMs),
+    )) {
+      ids.delete(change.added);
       ids.add(change.gone);
     }
     return [...ids.add(sender.id)];
   }
 
-  /** The first ranks in a sender's view; ranked once for each view. */
+  /** The first ranks in a sender's view, computed once for each view. */
   findRanks(sender: Sender, nowMs: number): readonly string[] {
-    const seen = this.countSeen(sender, nowMs);
-    const isNew = sender.bornAtMs > nowMs - (this.lags.get(sender.id) ?? 0);
+    const seen = this.countSeenChanges(sender, nowMs);
+    const isNew = sender.startedAtMs > nowMs - (this.lags.get(sender.id) ?? 0);
     const key = isNew ? `${seen}/${sender.id}` : String(seen);
     const known = this.ranks.get(key);
-    // Whoever has gone unseen meanwhile is in the view as before.
+    // Instances whose removal is not seen yet are still in the view.
     if (known) {
       return known;
     }
@@ -130,35 +132,35 @@
     return ranks;
   }
 
-  /** Whoever starts after the upstream turned cold learns it at once. */
-  private drawNotice(bornAtMs: number): number {
-    const {coldAgainAtMs = Infinity, noticeMs = 0} = this.scenario;
-    const delay = bornAtMs > coldAgainAtMs ? 0 : this.random() * noticeMs;
+  /** An instance that starts after the upstream became cold knows it at once. */
+  private drawNoticeTime(startedAtMs: number): number {
+    const {coldAgainAtMs = Infinity, maxNoticeMs = 0} = this.scenario;
+    const delay = startedAtMs > coldAgainAtMs ? 0 : this.random() * maxNoticeMs;
     return coldAgainAtMs + delay;
   }
 
-  /** Changes seen so far; they are seen in order. */
-  private countSeen(sender: Sender, nowMs: number): number {
+  /** Number of changes that a sender has seen; it sees them in order. */
+  private countSeenChanges(sender: Sender, nowMs: number): number {
     const until = nowMs - (this.lags.get(sender.id) ?? 0);
     const unseen = this.changes.findIndex(change => change.atMs > until);
     return unseen < 0 ? this.changes.length : unseen;
   }
 
-  private createSender(id: string, bornAtMs: number): Sender {
+  private createSender(id: string, startedAtMs: number): Sender {
     this.lags.set(id, this.random() * this.scenario.viewLagMs);
     return {
       id,
-      bornAtMs,
+      startedAtMs,
       work: [],
       grant: undefined,
       nextAskMs: this.random() * this.scenario.timing.termMs,
-      noticesAtMs: this.drawNotice(bornAtMs),
+      noticesColdAtMs: this.drawNoticeTime(startedAtMs),
       issuer: undefined,
     };
   }
 }
 
-const ask = (fleet: Fleet, sender: Sender, nowMs: number): void => {
+const requestGrant = (fleet: Fleet, sender: Sender, nowMs: number): void => {
   const {curve, timing, lost} = fleet.scenario;
   sender.nextAskMs = nowMs + timing.termMs / 2;
   const ranks = fleet.findRanks(sender, nowMs);
@@ -171,17 +173,17 @@
   if (!issuer || fleet.random() < lost) {
     return;
   }
-  // Who asks says that the upstream is cold, if it has noticed.
-  if (nowMs >= sender.noticesAtMs) {
-    issuer.noticesAtMs = Math.min(issuer.noticesAtMs, nowMs);
+  // A request for a grant tells the issuer that the upstream is cold.
+  if (nowMs >= sender.noticesColdAtMs) {
+    issuer.noticesColdAtMs = Math.min(issuer.noticesColdAtMs, nowMs);
   }
   const {coldAgainAtMs = 0} = fleet.scenario;
-  const coldSinceMs = nowMs >= issuer.noticesAtMs ? coldAgainAtMs : 0;
-  // The first rank is the same among the first ranks as among all.
+  const coldSinceMs = nowMs >= issuer.noticesColdAtMs ? coldAgainAtMs : 0;
+  // The issuer is the first rank, so the first ranks suffice to find it.
   const membership = {
     instances: fleet.findRanks(issuer, nowMs),
     confirmedAtMs: nowMs,
-    memberSinceMs: issuer.bornAtMs,
+    memberSinceMs: issuer.startedAtMs,
   };
   if (
     !decisions.mayIssueGrants(UPSTREAM, issuer.id, membership, nowMs, timing)
@@ -215,7 +217,7 @@
   }
 };
 
-/** Runs senders that take what `allowance` gives, or grants without one. */
+/** Runs a scenario; senders follow `allowance`, or use grants without it. */
 export const runWarmUp = (
   scenario: WarmUpScenario,
   random: () => number,
@@ -224,10 +226,10 @@
   const fleet = new Fleet(scenario, random);
   const {curve, timing} = scenario;
   let coldSinceMs = 0;
-  let highestRatio = 0;
-  let ticksAbove = 0;
+  let maxLoadRatio = 0;
+  let ticksOverCapacity = 0;
   let fullAtMs = Infinity;
-  let cutMs = 0;
+  let lastExcessMs = 0;
   const noticed = new Set<string>();
   for (let nowMs = 0; nowMs < scenario.lengthMs; nowMs += TICK_MS) {
     if (nowMs === scenario.coldAgainAtMs) {
@@ -235,9 +237,9 @@
       fullAtMs = Infinity;
     }
     if (random() < TICK_MS / scenario.replaceEveryMs) {
-      fleet.replaceOne(nowMs);
+      fleet.replaceRandomSender(nowMs);
     }
-    const bearable = decisions.findWarmUpSlots(curve, nowMs - coldSinceMs);
+    const capacity = decisions.findWarmUpSlots(curve, nowMs - coldSinceMs);
     let inFlight = 0;
     for (const sender of fleet.senders) {
       sender.work = sender.work.filter(work => work.endsAtMs > nowMs);
@@ -245,20 +247,20 @@
     }
     let sent = 0;
     for (const sender of fleet.senders) {
-      if (nowMs >= sender.noticesAtMs && !noticed.has(sender.id)) {
+      if (nowMs >= sender.noticesColdAtMs && !noticed.has(sender.id)) {
         noticed.add(sender.id);
         sender.grant = undefined;
         sender.nextAskMs = nowMs;
       }
       if (!allowance && nowMs >= sender.nextAskMs) {
-        ask(fleet, sender, nowMs);
+        requestGrant(fleet, sender, nowMs);
       }
       const ranks = allowance ? fleet.findRanks(sender, nowMs) : [];
-      const may = (): boolean =>
+      const canStart = (): boolean =>
         allowance
           ? sender.work.length < allowance(sender, ranks, nowMs - coldSinceMs)
           : decisions.mayStartOnGrant(sender.grant, sender.work.length, nowMs);
-      while (may()) {
+      while (canStart()) {
         const drawn = seededRandom.drawExponential(random, scenario.workMs);
         const length = Math.max(TICK_MS, Math.min(drawn, timing.drainMs));
         sender.work.push({endsAtMs: nowMs + length});
@@ -266,18 +268,24 @@
       }
     }
     inFlight += sent;
-    if (inFlight > bearable && sent > 0) {
-      ticksAbove++;
-      cutMs = nowMs + TICK_MS - coldSinceMs;
-      highestRatio = Math.max(highestRatio, inFlight / bearable);
+    if (inFlight > capacity && sent > 0) {
+      ticksOverCapacity++;
+      lastExcessMs = nowMs + TICK_MS - coldSinceMs;
+      maxLoadRatio = Math.max(maxLoadRatio, inFlight / capacity);
     }
-    highestRatio =
-      sent > 0 ? Math.max(highestRatio, inFlight / bearable) : highestRatio;
-    const isFull = inFlight >= FULL_USE * curve.fullSlots;
+    maxLoadRatio =
+      sent > 0 ? Math.max(maxLoadRatio, inFlight / capacity) : maxLoadRatio;
+    const isFull = inFlight >= FULL_USE_FRACTION * curve.fullSlots;
     const isSettled = nowMs > coldSinceMs + timing.drainMs;
     if (isFull && isSettled && fullAtMs === Infinity) {
       fullAtMs = nowMs - coldSinceMs;
     }
   }
-  return {highestRatio, ticksAbove, fullAtMs, messages: fleet.messages, cutMs};
+  return {
+    maxLoadRatio,
+    ticksOverCapacity,
+    fullAtMs,
+    messages: fleet.messages,
+    lastExcessMs,
+  };
 };
--- a/packages/bench/src/models/counting-store.ts
+++ b/packages/bench/src/models/counting-store.ts
@@ -1,32 +1,33 @@
-/** The object API as one instance uses it, with calls and bytes counted. */
+/** Counts the calls and bytes of one instance's use of the object API. */
 import type * as ports from '@amaranthknot/ports';
 
 /**
- * Bytes of headers of a request and its answer, as the protocol between
- * instances has them in the same bench.
+ * Header bytes of a request and its answer; the same as those of the protocol
+ * between instances in this bench.
  */
 const HEADER_BYTES = 400;
 
-/** What was counted. */
-export interface StoreUse {
+/** Calls and bytes so far. */
+export interface StoreUsage {
   calls: number;
-  /** Bodies as JSON, and headers. */
+  /** Bytes of bodies as JSON and of headers. */
   bytes: number;
 }
 
-/** Wraps a store; `use` grows with each call. */
-export const countStore = (
+/** Wraps a store and adds each call to `usage`. */
+export const createCountingStore = (
   store: ports.ObjectStore,
-  use: StoreUse,
+  usage: StoreUsage,
 ): ports.ObjectStore => {
   const count =
     <A extends unknown[], T>(
       call: (...args: A) => Promise<ports.StoreResult<T>>,
     ) =>
     async (...args: A): Promise<ports.StoreResult<T>> => {
-      use.calls++;
+      usage.calls++;
       const result = await call(...args);
-      use.bytes += HEADER_BYTES + JSON.stringify(result.extract() ?? '').length;
+      usage.bytes +=
+        HEADER_BYTES + JSON.stringify(result.extract() ?? '').length;
       return result;
     };
   return {
--- a/packages/bench/src/models/deployment.ts
+++ b/packages/bench/src/models/deployment.ts
@@ -1,4 +1,4 @@
-/** Entry instances before upstreams, driven by callers, in virtual time. */
+/** A deployment in virtual time: callers, entry instances and upstreams. */
 import * as decisions from '@amaranthknot/decisions';
 import * as seededRandom from '@amaranthknot/fakes';
 import * as baselines from './baselines.js';
@@ -6,62 +6,62 @@
 import * as simulation from './simulation.js';
 import * as upstreamModel from './upstream-model.js';
 
-/** Makes the gate of one entry instance. */
-export type GateMaker = (
+/** Creates the admission of one entry instance. */
+export type AdmissionFactory = (
   capacity: number,
   random: () => number,
-) => entryModel.Gate;
+) => entryModel.Admission;
 
-/** Makes the chooser of one entry instance. */
-export type ChooserMaker = (
+/** Creates the placement of one entry instance. */
+export type PlacementFactory = (
   instanceId: string,
   upstreams: readonly upstreamModel.UpstreamModel[],
   random: () => number,
-) => entryModel.Chooser;
+) => entryModel.Placement;
 
-/** Decides whether to try again after a bounce; one for each instance. */
+/** Decides whether to retry a failed attempt; one for each instance. */
 export interface Retrier {
   readonly recordAttempt: (upstreamId: string) => void;
   readonly tryRetry: (upstreamId: string, attempt: number) => boolean;
 }
 
-/** Conditions of a run; the decisions are functions, so baselines fit in. */
+/** Conditions of a run. Decisions can be replaced by baselines. */
 export interface DeploymentOptions {
   readonly seed: number;
   readonly entryInstances?: number;
   readonly upstreams?: number;
   readonly slots?: number;
   readonly cacheSize?: number;
-  readonly createGate?: GateMaker;
-  readonly createChooser?: ChooserMaker;
+  readonly createAdmission?: AdmissionFactory;
+  readonly createPlacement?: PlacementFactory;
   readonly createRetrier?: () => Retrier;
   readonly cancelsLateWork?: boolean;
-  /** Chance that an attempt is bounced, at a time. */
+  /** Probability that an attempt started at a time fails. */
   readonly failureShare?: (nowMs: number) => number;
   readonly reportPeriodMs?: number;
   readonly reportLagMs?: number;
 }
 
-/** Slots used by all instances together, over those of the upstreams. */
-const HEADROOM = 1.15;
+/** Ratio of the instances' total admission capacity to the upstreams' slots. */
+const SLOT_OVERCOMMIT = 1.15;
 
-/** Entry instances of the users today. */
+/** Number of entry instances of today's deployments. */
 export const DEFAULT_ENTRY_INSTANCES = 7;
 export const DEFAULT_UPSTREAMS = 8;
 export const DEFAULT_SLOTS = 16;
 const DEFAULT_REPORT_PERIOD_MS = 1000;
 const DEFAULT_REPORT_LAG_MS = 2000;
 
-/** The product's admission. */
-export const createProductGate: GateMaker = (capacity, random) =>
+/** Creates the product's admission. */
+export const createProductAdmission: AdmissionFactory = (capacity, random) =>
   new decisions.AdmissionQueue({capacity, random});
 
-/** First come, first served. */
-export const createBaselineGate: GateMaker = capacity =>
-  baselines.createFifoGate(capacity);
+/** Creates admission in order of arrival. */
+export const createBaselineAdmission: AdmissionFactory = capacity =>
+  baselines.createFifoAdmission(capacity);
 
-/** The product's placement. */
-export const createProductChooser: ChooserMaker = (
+/** Creates the product's placement. */
+export const createProductPlacement: PlacementFactory = (
   instanceId,
   upstreams,
   random,
@@ -79,14 +79,18 @@
   return placement;
 };
 
-/** Any upstream. */
-export const createBaselineChooser: ChooserMaker = (_id, upstreams, random) =>
-  baselines.createRandomChooser(
+/** Creates random placement. */
+export const createBaselinePlacement: PlacementFactory = (
+  _id,
+  upstreams,
+  random,
+) =>
+  baselines.createRandomPlacement(
     upstreams.map(upstream => upstream.options.id),
     random,
   );
 
-/** The product's retry budget. */
+/** Retries within the product's retry budget. */
 export const createProductRetrier = (): Retrier => {
   const budget = new decisions.RetryBudget();
   return {
@@ -95,21 +99,21 @@
   };
 };
 
-/** Three retries for each request, whatever happens. */
+/** Retries each request up to three times. */
 export const createBaselineRetrier = (): Retrier => ({
   recordAttempt: () => undefined,
   tryRetry: (_id, attempt) => attempt < 3,
 });
 
-/** A whole deployment in virtual time. */
+/** Entry instances and upstreams in virtual time. */
 export class Deployment {
   readonly time = new simulation.Simulation();
   readonly random: () => number;
   readonly upstreams: readonly upstreamModel.UpstreamModel[];
   readonly entries: readonly entryModel.EntryModel[];
-  readonly gates: readonly entryModel.Gate[];
+  readonly admissions: readonly entryModel.Admission[];
   readonly outcomes: entryModel.CallerOutcome[] = [];
-  /** Called with each outcome, for callers that come back. */
+  /** Called with each outcome; benches use it to send refused requests again. */
   onOutcome: (outcome: entryModel.CallerOutcome) => void = () => undefined;
   private requests = 0;
 
@@ -118,20 +122,22 @@
     this.upstreams = this.createUpstreams();
     const count = options.entryInstances ?? DEFAULT_ENTRY_INSTANCES;
     const slots = this.upstreams.reduce((n, u) => n + u.options.slots, 0);
-    const capacity = Math.max(1, Math.round((slots * HEADROOM) / count));
-    const create = options.createGate ?? createProductGate;
-    this.gates = Array.from({length: count}, () =>
+    const capacity = Math.max(1, Math.round((slots * SLOT_OVERCOMMIT) / count));
+    const create = options.createAdmission ?? createProductAdmission;
+    this.admissions = Array.from({length: count}, () =>
       create(capacity, this.random),
     );
-    this.entries = this.gates.map((gate, i) => this.createEntry(gate, i));
+    this.entries = this.admissions.map((admission, i) =>
+      this.createEntry(admission, i),
+    );
   }
 
-  /** Slots of all upstreams. */
+  /** Total slots of all upstreams. */
   get slots(): number {
     return this.upstreams.reduce((n, u) => n + u.options.slots, 0);
   }
 
-  /** Offers a request at an entry instance drawn at random. */
+  /** Offers a request to a random entry instance. */
   offer(request: Omit<entryModel.CallerRequest, 'id' | 'offeredMs'>): void {
     const index = Math.floor(this.random() * this.entries.length);
     this.entries[index]?.offer({
@@ -141,7 +147,7 @@
     });
   }
 
-  /** Offers requests as a Poisson process with a rate that may change. */
+  /** Offers requests as a Poisson process whose rate may change, until `endMs`. */
   drive(
     ratePerSecond: (nowMs: number) => number,
     endMs: number,
@@ -173,21 +179,22 @@
   }
 
   private createEntry(
-    gate: entryModel.Gate,
+    admission: entryModel.Admission,
     index: number,
   ): entryModel.EntryModel {
     const {options, time} = this;
-    const create = options.createChooser ?? createProductChooser;
-    const chooser = create(`entry-${index}`, this.upstreams, this.random);
+    const create = options.createPlacement ?? createProductPlacement;
+    const placement = create(`entry-${index}`, this.upstreams, this.random);
     const retrier = (options.createRetrier ?? createProductRetrier)();
-    this.scheduleReports(chooser);
+    this.scheduleReports(placement);
     return new entryModel.EntryModel({
       time,
-      gate,
-      chooser,
+      admission,
+      placement,
       upstreams: new Map(this.upstreams.map(u => [u.options.id, u])),
       cancelsLateWork: options.cancelsLateWork ?? true,
-      fails: () => this.random() < (options.failureShare?.(time.nowMs) ?? 0),
+      isAttemptBounced: () =>
+        this.random() < (options.failureShare?.(time.nowMs) ?? 0),
       ...retrier,
       record: outcome => {
         this.outcomes.push(outcome);
@@ -196,7 +203,7 @@
     });
   }
 
-  private scheduleReports(chooser: entryModel.Chooser): void {
+  private scheduleReports(placement: entryModel.Placement): void {
     const periodMs = this.options.reportPeriodMs ?? DEFAULT_REPORT_PERIOD_MS;
     const lagMs = this.options.reportLagMs ?? DEFAULT_REPORT_LAG_MS;
     for (const upstream of this.upstreams) {
@@ -205,7 +212,7 @@
           const measuredMs = this.time.nowMs;
           const {load} = upstream;
           this.time.after(lagMs, () =>
-            chooser.report(upstream.options.id, load, measuredMs),
+            placement.report(upstream.options.id, load, measuredMs),
           );
         }),
       );
--- a/packages/bench/src/models/entry-model.ts
+++ b/packages/bench/src/models/entry-model.ts
@@ -1,24 +1,24 @@
 /**
- * One entry instance for benches: the product's own admission, placement and
- * retry budget, or the baseline's, before upstream models.
+ * Simulated entry instance: the admission, placement and retry budget of the
+ * product or of a baseline, in front of simulated upstreams.
  */
 import * as decisions from '@amaranthknot/decisions';
 import type * as simulation from './simulation.js';
 import type * as upstreamModel from './upstream-model.js';
 
-/** Decides what runs, waits and is refused. */
-export type Gate = Pick<
+/** Decides which requests run, wait or are refused. */
+export type Admission = Pick<
   decisions.AdmissionQueue,
   'offer' | 'release' | 'expire' | 'nextExpiryMs' | 'cancel' | 'queued'
 >;
 
-/** Decides where a request runs. */
-export type Chooser = Pick<
+/** Decides which upstream a request is sent to. */
+export type Placement = Pick<
   decisions.Placement,
   'choose' | 'start' | 'finish' | 'report'
 >;
 
-/** A request of a caller. */
+/** A caller's request. */
 export interface CallerRequest {
   readonly id: string;
   readonly workspace: string;
@@ -27,37 +27,37 @@
   readonly deadlineMs: number;
   readonly maxWaitMs: number;
   readonly weight: number;
-  /** Time in the batch of a sound upstream. */
+  /** Service time at an upstream at full speed. */
   readonly serviceMs: number;
-  /** Time that the instance expects from what it can see of the request. */
+  /** Service time that the instance expects from the request. */
   readonly expectedServiceMs?: number;
   readonly prefix?: string;
 }
 
-/** What became of a request. */
+/** How a request ended. */
 export interface CallerOutcome {
   readonly request: CallerRequest;
   readonly kind: 'answered' | 'refused' | 'timed_out';
-  /** Wait for admission in milliseconds. */
+  /** Time in the admission queue, in milliseconds. */
   readonly waitMs: number;
-  /** Time from the offer to the outcome. */
+  /** Time from the offer to the outcome, in milliseconds. */
   readonly totalMs: number;
   readonly endedMs: number;
   readonly reason?: decisions.AdmissionRefusalReason;
   readonly retryAfterMs?: number;
 }
 
-/** Parts and conditions of an entry model. */
+/** Dependencies and conditions of an entry instance. */
 export interface EntryModelOptions {
   readonly time: simulation.Simulation;
-  readonly gate: Gate;
-  readonly chooser: Chooser;
+  readonly admission: Admission;
+  readonly placement: Placement;
   readonly upstreams: ReadonlyMap<string, upstreamModel.UpstreamModel>;
   /** Whether work is cancelled when its caller's deadline passes. */
   readonly cancelsLateWork: boolean;
-  /** Whether an attempt is bounced by the upstream. */
-  readonly fails: () => boolean;
-  /** Asks for one retry at an upstream. */
+  /** Draws whether the upstream rejects an attempt. */
+  readonly isAttemptBounced: () => boolean;
+  /** Whether a failed attempt may be retried. */
   readonly tryRetry: (upstreamId: string, attempt: number) => boolean;
   readonly recordAttempt: (upstreamId: string) => void;
   readonly record: (outcome: CallerOutcome) => void;
@@ -69,10 +69,10 @@
   readonly number: number;
 }
 
-/** The one target of the benches. */
+/** The model version that all requests ask for. */
 export const TARGET = 'model@1';
 
-/** Time after which a bounced attempt is known to have failed. */
+/** Time until an attempt that an upstream rejects has failed. */
 const BOUNCE_MS = 5;
 
 const PRIORITY_RANK: Readonly<Record<decisions.AdmissionPriority, number>> = {
@@ -81,40 +81,40 @@
   batch: 2,
 };
 
-/** One entry instance in virtual time. */
+/** An entry instance in virtual time. */
 export class EntryModel {
-  /** First attempts and retries sent to upstreams. */
+  /** First attempts sent to upstreams. */
   attempts = 0;
   retries = 0;
-  /** Work that ended after its deadline. */
+  /** Requests that finished after their deadline. */
   lateWork = 0;
   private expiryMs = Infinity;
   private readonly waiting = new Map<string, CallerRequest>();
 
   constructor(private readonly options: EntryModelOptions) {}
 
-  /** Takes a caller's request. */
+  /** Admits, queues or refuses a request. */
   offer(request: CallerRequest): void {
-    const {time, gate} = this.options;
-    const outcome = gate.offer(toAdmission(request), time.nowMs);
+    const {time, admission} = this.options;
+    const outcome = admission.offer(toAdmission(request), time.nowMs);
     switch (outcome.kind) {
       case 'admitted':
         this.send({request, waitMs: 0, number: 0});
         break;
       case 'queued':
         this.waiting.set(request.id, request);
-        this.watchExpiry();
+        this.scheduleExpiry();
         break;
       case 'refused':
-        this.end(request, 'refused', 0, outcome);
+        this.finish(request, 'refused', 0, outcome);
         break;
     }
   }
 
   private send(attempt: Attempt): void {
-    const {time, chooser, recordAttempt} = this.options;
+    const {time, placement, recordAttempt} = this.options;
     const {request} = attempt;
-    const placed = chooser.choose(
+    const placed = placement.choose(
       {
         target: TARGET,
         ...(request.prefix ? {affinityKey: request.prefix} : {}),
@@ -122,15 +122,17 @@
       time.nowMs,
     );
     if (placed.kind === 'unplaced') {
-      throw new Error(`no upstream: ${placed.reason}`);
+      throw new Error(
+        `placement of ${request.id} found no upstream for ${TARGET}: ${placed.reason}`,
+      );
     }
     const id = placed.upstreamId;
     this.attempts += attempt.number === 0 ? 1 : 0;
     if (attempt.number === 0) {
       recordAttempt(id);
     }
-    chooser.start(id, time.nowMs);
-    if (this.options.fails()) {
+    placement.start(id, time.nowMs);
+    if (this.options.isAttemptBounced()) {
       time.after(BOUNCE_MS, () => this.bounce(id, attempt));
     } else {
       this.run(id, attempt);
@@ -138,19 +140,19 @@
   }
 
   private bounce(id: string, attempt: Attempt): void {
-    const {time, chooser, tryRetry} = this.options;
-    chooser.finish(id, 'failed', BOUNCE_MS, time.nowMs);
+    const {time, placement, tryRetry} = this.options;
+    placement.finish(id, 'failed', BOUNCE_MS, time.nowMs);
     if (tryRetry(id, attempt.number)) {
       this.retries++;
       this.send({...attempt, number: attempt.number + 1});
       return;
     }
-    this.end(attempt.request, 'timed_out', attempt.waitMs);
-    this.free(attempt.request.id);
+    this.finish(attempt.request, 'timed_out', attempt.waitMs);
+    this.releaseSlot(attempt.request.id);
   }
 
   private run(id: string, attempt: Attempt): void {
-    const {time, chooser, upstreams, cancelsLateWork} = this.options;
+    const {time, placement, upstreams, cancelsLateWork} = this.options;
     const {request, waitMs} = attempt;
     const startedMs = time.nowMs;
     let isOver = false;
@@ -162,29 +164,29 @@
         isOver = true;
         const size = request.expectedServiceMs ?? REFERENCE_MS;
         const unitMs = ((time.nowMs - startedMs) / size) * REFERENCE_MS;
-        chooser.finish(id, 'answered', unitMs, time.nowMs);
+        placement.finish(id, 'answered', unitMs, time.nowMs);
         const isLate = time.nowMs > request.deadlineMs;
         this.lateWork += isLate ? 1 : 0;
-        this.end(request, isLate ? 'timed_out' : 'answered', waitMs);
-        this.free(request.id);
+        this.finish(request, isLate ? 'timed_out' : 'answered', waitMs);
+        this.releaseSlot(request.id);
       },
     });
     if (cancelsLateWork) {
       time.at(request.deadlineMs, () => {
         if (!isOver) {
           cancel?.();
-          chooser.finish(id, 'cancelled', 0, time.nowMs);
-          this.end(request, 'timed_out', waitMs);
-          this.free(request.id);
+          placement.finish(id, 'cancelled', 0, time.nowMs);
+          this.finish(request, 'timed_out', waitMs);
+          this.releaseSlot(request.id);
         }
       });
     }
   }
 
-  private free(id: string): void {
-    const {time, gate} = this.options;
+  private releaseSlot(id: string): void {
+    const {time, admission} = this.options;
     this.expire();
-    this.sendAll(gate.release(id, time.nowMs));
+    this.sendAll(admission.release(id, time.nowMs));
   }
 
   private sendAll(admitted: readonly decisions.AdmissionRequest[]): void {
@@ -200,20 +202,25 @@
   }
 
   private expire(): void {
-    const {time, gate} = this.options;
-    for (const refusal of gate.expire(time.nowMs)) {
+    const {time, admission} = this.options;
+    for (const refusal of admission.expire(time.nowMs)) {
       const request = this.waiting.get(refusal.request.id);
       if (request) {
         this.waiting.delete(request.id);
-        this.end(request, 'refused', time.nowMs - request.offeredMs, refusal);
+        this.finish(
+          request,
+          'refused',
+          time.nowMs - request.offeredMs,
+          refusal,
+        );
       }
     }
-    this.watchExpiry();
+    this.scheduleExpiry();
   }
 
-  private watchExpiry(): void {
-    const {time, gate} = this.options;
-    const next = gate.nextExpiryMs();
+  private scheduleExpiry(): void {
+    const {time, admission} = this.options;
+    const next = admission.nextExpiryMs();
     if (next === undefined || next >= this.expiryMs) {
       return;
     }
@@ -224,7 +231,7 @@
     });
   }
 
-  private end(
+  private finish(
     request: CallerRequest,
     kind: CallerOutcome['kind'],
     waitMs: number,
@@ -245,7 +252,7 @@
   }
 }
 
-/** Size of a request that latencies are scaled to. */
+/** Service time that reported latencies are scaled to. */
 const REFERENCE_MS = 800;
 
 const toAdmission = (request: CallerRequest): decisions.AdmissionRequest => ({
--- a/packages/bench/src/models/relay-fleet.ts
+++ b/packages/bench/src/models/relay-fleet.ts
@@ -1,4 +1,4 @@
-/** Followers that talk over loopback HTTP, in one process. */
+/** Configuration followers in one process, connected by loopback HTTP. */
 import * as http from 'node:http';
 import type * as net from 'node:net';
 import * as fakes from '@amaranthknot/fakes';
@@ -10,22 +10,22 @@
 
 export const ENVIRONMENT = 'production';
 
-/** Time of a call to the object API in milliseconds, at most. */
-const STORE_MS = 5;
+/** Longest duration of a call to the object API, in milliseconds. */
+const MAX_STORE_CALL_MS = 5;
 
-/** Time over which instances start, in milliseconds. */
-const START_MS = 1_000;
+/** Period within which all instances start, in milliseconds. */
+const START_SPREAD_MS = 1_000;
 
-/** One instance of the fleet. */
+/** An instance of the fleet. */
 export interface RelayMember {
   readonly follower: membership.ConfigurationFollower;
-  readonly use: countingStore.StoreUse;
-  /** When each generation came into force, oldest first. */
-  readonly taken: {readonly generation: number; readonly at: number}[];
+  readonly usage: countingStore.StoreUsage;
+  /** When each generation became active, oldest first. */
+  readonly applied: {readonly generation: number; readonly at: number}[];
   close(): Promise<void>;
 }
 
-/** Bytes on all connections between instances, each counted once. */
+/** Bytes on the connections between instances; each byte is counted once. */
 interface Traffic {
   bytes: number;
 }
@@ -49,9 +49,9 @@
 };
 
 /**
- * Counts what passes through a server's connections, up to each answer: a
- * count at the next request alone would move the answers of the start, with
- * whole configurations, into the time that is measured.
+ * Counts the bytes on a server's connections at the end of each answer. Counting
+ * at the next request would add the answers of the start, which carry whole
+ * configurations, to the measured period.
  */
 const countTraffic = (server: http.Server, traffic: Traffic): void => {
   const counted = new WeakMap<net.Socket, number>();
@@ -65,12 +65,12 @@
   });
 };
 
-/** A fleet with its platform. */
+/** The instances of a fleet, and the object API that they share. */
 export class RelayFleet {
   readonly store: fakes.MemoryObjectStore;
   readonly members: RelayMember[] = [];
   readonly traffic: Traffic = {bytes: 0};
-  private readonly listed: ports.ListedInstance[] = [];
+  private readonly listedInstances: ports.ListedInstance[] = [];
 
   constructor(
     private readonly random: () => number,
@@ -78,18 +78,18 @@
   ) {
     this.store = new fakes.MemoryObjectStore({
       clock: ports.systemClock,
-      delayMs: () => 1 + this.random() * (STORE_MS - 1),
+      delayMs: () => 1 + this.random() * (MAX_STORE_CALL_MS - 1),
     });
   }
 
-  /** Starts `count` instances within a second. */
+  /** Starts `count` instances within `START_SPREAD_MS`. */
   async start(count: number): Promise<void> {
     for (let index = 0; index < count; index++) {
       this.members.push(await this.add(index));
     }
     await Promise.all(
       this.members.map(async ({follower}) => {
-        await ports.systemClock.sleep(this.random() * START_MS);
+        await ports.systemClock.sleep(this.random() * START_SPREAD_MS);
         await follower.start();
       }),
     );
@@ -100,10 +100,10 @@
     await Promise.all(this.members.map(member => member.close()));
   }
 
-  /** Time at which the last instance had `generation`; undefined before. */
-  lastAt(generation: number): number | undefined {
+  /** When the last instance had applied `generation`; undefined until then. */
+  appliedByAllAt(generation: number): number | undefined {
     const times = this.members.map(
-      ({taken}) => taken.find(each => each.generation >= generation)?.at,
+      ({applied}) => applied.find(each => each.generation >= generation)?.at,
     );
     const known = times.filter(time => time !== undefined);
     return known.length === times.length ? Math.max(...known) : undefined;
@@ -115,7 +115,7 @@
     const {address} = await listen(server);
     const zone = `zone-${index % this.zones}`;
     const id = `entry-${String(index).padStart(4, '0')}`;
-    this.listed.push({
+    this.listedInstances.push({
       id,
       address,
       zone,
@@ -124,12 +124,14 @@
       serves: [],
     });
     const transport = protocol.createHttpTransport({innerKey: 'k'.repeat(32)});
-    const use = {calls: 0, bytes: 0};
-    const taken: {generation: number; at: number}[] = [];
+    const usage = {calls: 0, bytes: 0};
+    const applied: {generation: number; at: number}[] = [];
     const follower = new membership.ConfigurationFollower({
       environment: ENVIRONMENT,
-      store: countingStore.countStore(this.store, use),
-      instances: {list: () => Promise.resolve(purify.Right(this.listed))},
+      store: countingStore.createCountingStore(this.store, usage),
+      instances: {
+        list: () => Promise.resolve(purify.Right(this.listedInstances)),
+      },
       transport: transport.send,
       peers: new membership.PeerTable({
         id,
@@ -141,7 +143,7 @@
       clock: ports.systemClock,
       random: this.random,
       onChange: ({generation}) => {
-        taken.push({generation, at: ports.systemClock.now()});
+        applied.push({generation, at: ports.systemClock.now()});
       },
     });
     const peerServer = protocol.createPeerServer(follower.handlers());
@@ -157,6 +159,6 @@
       server.closeAllConnections();
       await new Promise(resolve => server.close(resolve));
     };
-    return {follower, use, taken, close};
+    return {follower, usage, applied, close};
   }
 }
--- a/packages/bench/src/models/rollout-traffic.ts
+++ b/packages/bench/src/models/rollout-traffic.ts
@@ -1,53 +1,53 @@
 /**
- * Traffic of the `rollout` bench: answers of two versions counted on several
- * instances, rated late and in part, and reported late to a driver that is
- * lost half way for a while.
+ * Traffic of the `rollout` bench. Several instances count the answers of two
+ * versions; some answers are rated, after a delay. The driver that decides the
+ * share of the new version is lost for a while half way.
  */
 import * as decisions from '@amaranthknot/decisions';
 import * as seededRandom from '@amaranthknot/fakes';
 
-/** One roll-out to run. */
+/** Conditions of a rollout; times in seconds. */
 export interface Scenario {
   readonly instances: number;
-  /** Requests a second of the model over all instances. */
+  /** Requests per second to the model on all instances. */
   readonly requestRate: number;
-  /** Share of bad answers of the old and the new version. */
+  /** Fraction of bad answers of the old and the new version. */
   readonly oldBad: number;
   readonly newBad: number;
-  /** Mean lateness of a rating, in seconds. */
+  /** Mean delay of a rating, in seconds. */
   readonly ratingDelay: number;
   readonly steps: readonly number[];
-  /** Seconds after which an undecided run ends. */
+  /** Time after which an undecided run ends, in seconds. */
   readonly limit: number;
-  /** Second at which the driver is lost, and for how long. */
+  /** When the driver is lost, and for how long, in seconds. */
   readonly driverLostAt: number;
   readonly driverLostFor: number;
 }
 
-/** How a roll-out ended. */
+/** How a rollout ended. */
 export interface RolloutRun {
   readonly outcome: 'stopped' | 'out' | 'undecided';
-  /** Seconds until the outcome. */
+  /** Time until the outcome, in seconds. */
   readonly seconds: number;
-  /** Bad answers that callers got from the new version. */
+  /** Bad answers that callers received from the new version. */
   readonly badAnswers: number;
 }
 
-/** Decides the share of the new version, at each look. */
+/** Decides the share of the new version at each evaluation. */
 export interface Driver {
-  look(
+  evaluate(
     evidence: decisions.EvidenceByInstance,
     seconds: number,
   ): {readonly share: number; readonly stopped: boolean};
-  /** The state that the next driver resumes from. */
+  /** The serialized state that the next driver resumes from. */
   store(): string;
 }
 
-/** Share of all answers that the rating service may be sent. */
+/** Fraction of all answers that may be sent to the rating service. */
 const RATING_BUDGET = 0.1;
-const MISSING = 0.2;
-/** Seconds between looks. */
-const TICK = 10;
+const MISSING_RATINGS = 0.2;
+/** Time between evaluations, in seconds. */
+const TICK_S = 10;
 
 type MutableCounts = {
   -readonly [K in keyof decisions.VersionCounts]: number;
@@ -76,7 +76,7 @@
     ]),
   );
 
-/** Number of events in a tick, given their mean. */
+/** Draws a Poisson-distributed number with a mean. */
 const drawPoisson = (random: () => number, mean: number): number => {
   const bound = Math.exp(-mean);
   let product = random();
@@ -90,12 +90,12 @@
 
 interface Progress {
   readonly counts: readonly Counts[];
-  /** Ratings to come, by tick. */
-  readonly late: Map<number, LateRating[]>;
+  /** Delayed ratings by the tick in which they arrive. */
+  readonly pendingRatings: Map<number, LateRating[]>;
   badAnswers: number;
 }
 
-/** Serves one version's answers of one tick. */
+/** Simulates the requests to one version in one tick. */
 const serveTick = (
   scenario: Scenario,
   progress: Progress,
@@ -105,10 +105,14 @@
   random: () => number,
 ): void => {
   const isNew = version === 'new';
-  const part = isNew ? share : 1 - share;
+  const versionShare = isNew ? share : 1 - share;
   const rated =
-    decisions.allocateRatings(share, RATING_BUDGET)[version] * (1 - MISSING);
-  const answers = drawPoisson(random, part * scenario.requestRate * TICK);
+    decisions.allocateRatings(share, RATING_BUDGET)[version] *
+    (1 - MISSING_RATINGS);
+  const answers = drawPoisson(
+    random,
+    versionShare * scenario.requestRate * TICK_S,
+  );
   for (let i = 0; i < answers; i++) {
     const instance = Math.floor(random() * scenario.instances);
     const isBad = random() < (isNew ? scenario.newBad : scenario.oldBad);
@@ -118,28 +122,29 @@
     }
     progress.badAnswers += isNew && isBad ? 1 : 0;
     if (random() < rated) {
-      const mean = scenario.ratingDelay / TICK;
+      const mean = scenario.ratingDelay / TICK_S;
       const delay = seededRandom.drawExponential(random, mean);
       const at = tick + 1 + Math.floor(delay);
-      const list = progress.late.get(at) ?? [];
+      const list = progress.pendingRatings.get(at) ?? [];
       list.push({instance, version, isBad});
-      progress.late.set(at, list);
+      progress.pendingRatings.set(at, list);
     }
   }
 };
 
-const takeRatings = (progress: Progress, tick: number): void => {
-  for (const {instance, version, isBad} of progress.late.get(tick) ?? []) {
+const applyRatings = (progress: Progress, tick: number): void => {
+  for (const {instance, version, isBad} of progress.pendingRatings.get(tick) ??
+    []) {
     const count = progress.counts[instance]?.[version];
     if (count) {
       count.rated++;
       count.bad += isBad ? 1 : 0;
     }
   }
-  progress.late.delete(tick);
+  progress.pendingRatings.delete(tick);
 };
 
-/** Runs one roll-out, tick by tick. */
+/** Simulates a rollout tick by tick. */
 export const runRollout = (
   scenario: Scenario,
   createDriver: (resumed: string | undefined) => Driver,
@@ -150,15 +155,15 @@
       old: createCounts(),
       new: createCounts(),
     })),
-    late: new Map(),
+    pendingRatings: new Map(),
     badAnswers: 0,
   };
   let driver = createDriver(undefined);
   let stored: string | undefined;
   let isLost = false;
   let share = 0;
-  for (let tick = 0; tick * TICK < scenario.limit; tick++) {
-    const seconds = tick * TICK;
+  for (let tick = 0; tick * TICK_S < scenario.limit; tick++) {
+    const seconds = tick * TICK_S;
     const sinceLoss = seconds - scenario.driverLostAt;
     const wasLost = isLost;
     isLost = sinceLoss >= 0 && sinceLoss < scenario.driverLostFor;
@@ -168,21 +173,24 @@
     if (!isLost && wasLost) {
       driver = createDriver(stored);
     }
-    const inForce = share;
+    const activeShare = share;
     if (!isLost) {
-      const look = driver.look(copyEvidence(progress.counts), seconds);
-      share = look.share;
-      if (look.stopped) {
+      const evaluation = driver.evaluate(
+        copyEvidence(progress.counts),
+        seconds,
+      );
+      share = evaluation.share;
+      if (evaluation.stopped) {
         return {outcome: 'stopped', seconds, badAnswers: progress.badAnswers};
       }
       if (share >= 1) {
         return {outcome: 'out', seconds, badAnswers: progress.badAnswers};
       }
     }
-    // A share takes up to a tick to be in force on every instance.
-    serveTick(scenario, progress, tick, 'new', inForce, random);
-    serveTick(scenario, progress, tick, 'old', inForce, random);
-    takeRatings(progress, tick);
+    // A new share takes up to a tick to become active on every instance.
+    serveTick(scenario, progress, tick, 'new', activeShare, random);
+    serveTick(scenario, progress, tick, 'old', activeShare, random);
+    applyRatings(progress, tick);
   }
   const {badAnswers} = progress;
   return {outcome: 'undecided', seconds: scenario.limit, badAnswers};
--- a/packages/bench/src/models/sample-document.ts
+++ b/packages/bench/src/models/sample-document.ts
@@ -1,4 +1,4 @@
-/** A document of the size to design for, and the changes of a day. */
+/** A configuration document of the design size, and its usual changes. */
 import type * as configuration from '@amaranthknot/configuration';
 
 const MODELS = 33;
@@ -7,7 +7,7 @@
 const ROLLOUTS = 4;
 const DIGEST_LENGTH = 64;
 
-/** Shares of changes that touch a zone and a roll-out; the rest, a workspace. */
+/** Shares of changes to a zone and to a rollout; all others change a workspace. */
 const ZONE_SHARE = 0.4;
 const ROLLOUT_SHARE = 0.4;
 
@@ -38,7 +38,7 @@
   allowed: [{kind: 'cascade', cascade: 'usual'}],
 });
 
-/** A document with 33 models, 60 workspaces and 9 zones. */
+/** Creates a document with 33 models, 60 workspaces and 9 zones. */
 export const createSampleDocument = (): configuration.Document => ({
   models: names('model', MODELS).map(createModel),
   cascades: [{name: 'usual', stages: names('model', 3)}],
@@ -60,7 +60,7 @@
   change: (item: T) => T,
 ): readonly T[] => items.map((item, i) => (i === index ? change(item) : item));
 
-/** Changes one zone, one roll-out or one workspace, as on an ordinary day. */
+/** Changes one zone, rollout or workspace, in the proportions of a usual day. */
 export const changeDocument = (
   document: configuration.Document,
   random: () => number,
--- a/packages/bench/src/models/simulation.ts
+++ b/packages/bench/src/models/simulation.ts
@@ -1,4 +1,4 @@
-/** Virtual time for benches: events run in order of time, then of arrival. */
+/** Event queue in virtual time: events run by time, then in scheduling order. */
 import * as heap from 'heap-js';
 
 interface ScheduledEvent {
@@ -10,7 +10,7 @@
 const compare = (a: ScheduledEvent, b: ScheduledEvent): number =>
   a.atMs - b.atMs || a.order - b.order;
 
-/** A single queue of events. */
+/** Schedules and runs events in virtual time. */
 export class Simulation {
   private timeMs = 0;
   private order = 0;
@@ -26,7 +26,7 @@
     this.at(this.timeMs + delayMs, run);
   }
 
-  /** Runs a function at a time, or at once when that has passed. */
+  /** Runs a function at a time, or as the next event if that has passed. */
   at(atMs: number, run: () => void): void {
     this.events.push({
       atMs: Math.max(this.timeMs, atMs),
@@ -35,7 +35,7 @@
     });
   }
 
-  /** Runs a function every so often, until the end. */
+  /** Runs a function every `periodMs` until the simulation ends. */
   every(periodMs: number, run: () => void): void {
     this.after(periodMs, () => {
       run();
@@ -43,7 +43,7 @@
     });
   }
 
-  /** Runs all events up to a time. */
+  /** Runs all events up to and including a time. */
   runUntil(endMs: number): void {
     for (;;) {
       const next = this.events.peek();
--- a/packages/bench/src/models/statistics.ts
+++ b/packages/bench/src/models/statistics.ts
@@ -1,8 +1,8 @@
-/** Figures over outcomes, by a histogram library. */
+/** Percentiles, means and random draws that the benches share. */
 import * as histogram from 'hdr-histogram-js';
 import type * as entryModel from './entry-model.js';
 
-/** Values are recorded in thousandths, as the library takes whole numbers. */
+/** The histogram takes whole numbers only, so values are kept in thousandths. */
 const RESOLUTION = 1000;
 
 /** Value at a percentile, 0 to 100; 0 without values. */
@@ -28,7 +28,7 @@
 export const mean = (values: readonly number[]): number =>
   values.reduce((sum, value) => sum + value, 0) / Math.max(1, values.length);
 
-/** Times from offer to answer, of those that were answered. */
+/** Times from offer to answer of the answered requests, in milliseconds. */
 export const latencies = (
   outcomes: readonly entryModel.CallerOutcome[],
 ): readonly number[] =>
--- a/packages/bench/src/models/upstream-model.ts
+++ b/packages/bench/src/models/upstream-model.ts
@@ -1,18 +1,18 @@
 /**
- * A model engine for benches: a batch of slots, a queue that honours
- * priorities, a prefix cache of limited size, and a speed that may change.
+ * Simulated model engine: a batch of slots, a priority queue, a prefix cache of
+ * limited size, and a speed that can change.
  */
 import * as heap from 'heap-js';
 import type * as simulation from './simulation.js';
 
-/** One piece of work sent to an upstream. */
+/** A request sent to an upstream. */
 export interface Work {
-  /** Time in the batch at full speed without a cached prefix. */
+  /** Service time at full speed without a cached prefix. */
   readonly serviceMs: number;
   /** Lower goes first. */
   readonly priority: number;
   readonly prefix?: string;
-  /** Called at the end, unless the work was cancelled. */
+  /** Called when the work is finished; not called if it was cancelled. */
   readonly finish: () => void;
 }
 
@@ -22,27 +22,27 @@
   state: 'waiting' | 'running' | 'over';
 }
 
-/** Settings of an upstream model. */
+/** Options of an upstream. */
 export interface UpstreamModelOptions {
   readonly id: string;
   readonly zone: string;
   readonly slots: number;
-  /** Prefixes that the cache holds. */
+  /** Number of prefixes that the cache holds. */
   readonly cacheSize?: number;
 }
 
-/** Share of the service time that a cached prefix saves. */
+/** Fraction of the service time that a cached prefix saves. */
 const CACHE_SAVING = 0.4;
 
 const DEFAULT_CACHE_SIZE = 20;
 
-/** One upstream in virtual time. */
+/** An upstream in virtual time. */
 export class UpstreamModel {
-  /** Factor on service times; 1 is sound. */
+  /** Factor on service times; 1 is full speed. */
   slowdown = 1;
   hits = 0;
   lookUps = 0;
-  /** Slot time spent, in milliseconds. */
+  /** Slot time of finished work, in milliseconds. */
   busyMs = 0;
   private running = 0;
   private order = 0;
@@ -57,7 +57,7 @@
     readonly options: UpstreamModelOptions,
   ) {}
 
-  /** Work that runs or waits. */
+  /** Number of requests that run or wait. */
   get load(): number {
     return this.running + this.waiting;
   }
@@ -67,7 +67,7 @@
     return this.cache.has(prefix);
   }
 
-  /** Takes work; the function returned cancels it. */
+  /** Queues work; the returned function cancels it. */
   send(work: Work): () => void {
     const job: Job = {work, order: this.order++, state: 'waiting'};
     this.queue.push(job);
@@ -116,7 +116,7 @@
     });
   }
 
-  /** Uses the cache, least recently used out first; tells hit from miss. */
+  /** Looks a prefix up in the LRU cache and adds it; returns whether it was hit. */
   private touch(prefix: string | undefined): boolean {
     if (prefix === undefined) {
       return false;
--- a/packages/bench/src/models/virtual-deployment.ts
+++ b/packages/bench/src/models/virtual-deployment.ts
@@ -1,7 +1,7 @@
 /**
- * Entry instances in virtual time, with all that calls the object API: the
- * configuration, duties, claims and bills. Requests are reduced to the calls
- * that they cause.
+ * Entry instances in virtual time, with all parts that call the object API: the
+ * configuration, leased tasks, claims and bills. A request only makes the calls
+ * that it causes.
  */
 import * as fakes from '@amaranthknot/fakes';
 import * as ledger from '@amaranthknot/ledger';
@@ -13,29 +13,29 @@
 
 export const ENVIRONMENT = 'production';
 
-/** Time of a call to the platform in milliseconds, at most. */
-const STORE_MS = 8;
+/** Longest duration of a call to the platform, in milliseconds. */
+const MAX_STORE_CALL_MS = 8;
 
-/** Duties: a roll-out, and the orders to two pools. */
-const DUTIES = ['rollout/model-00', 'pool/model-00', 'pool/model-01'];
+/** Leased tasks: one rollout, and the control of two pools. */
+const LEASED_TASKS = ['rollout/model-00', 'pool/model-00', 'pool/model-01'];
 
 interface Instance {
   readonly id: string;
   readonly address: string;
   readonly follower: membership.ConfigurationFollower;
-  readonly duties: membership.LeasedTaskRunner;
+  readonly leasedTasks: membership.LeasedTaskRunner;
   readonly claims: ledger.ClaimLedger;
   readonly bills: ledger.BillLedger;
   readonly server: protocol.PeerServer;
 }
 
-/** A deployment of today's size. */
+/** Entry instances of a deployment with its platform. */
 export class VirtualDeployment {
   readonly clock = new fakes.VirtualClock();
   readonly counter = new callCounter.CallCounter(this.clock);
   readonly store: fakes.MemoryObjectStore;
   isOut = false;
-  /** Requests that got no claim while the platform was out. */
+  /** Requests refused because the platform was unavailable. */
   refused = 0;
   private readonly instances: Instance[] = [];
   private readonly stopping = new AbortController();
@@ -47,12 +47,12 @@
   ) {
     this.store = new fakes.MemoryObjectStore({
       clock: this.clock,
-      delayMs: () => 1 + random() * (STORE_MS - 1),
+      delayMs: () => 1 + random() * (MAX_STORE_CALL_MS - 1),
       fault: () => (this.isOut ? 'down' : 'none'),
     });
   }
 
-  /** Adds and starts instances. */
+  /** Creates and starts `count` instances. */
   start(count: number): void {
     for (let index = 0; index < count; index++) {
       this.instances.push(this.create(index));
@@ -60,24 +60,24 @@
     for (const instance of this.instances) {
       void instance.follower.start();
       void instance.bills.run(this.stopping.signal);
-      for (const name of DUTIES) {
-        instance.duties.add(name, term =>
+      for (const name of LEASED_TASKS) {
+        instance.leasedTasks.add(name, term =>
           this.clock.sleep(Infinity, term.signal),
         );
       }
     }
   }
 
-  /** Stops all loops. */
+  /** Stops all background loops. */
   stop(): void {
     this.stopping.abort();
-    for (const {follower, duties} of this.instances) {
+    for (const {follower, leasedTasks} of this.instances) {
       void follower.stop();
-      void duties.stop();
+      void leasedTasks.stop();
     }
   }
 
-  /** One request at a random instance; `isClaimed` when it must run once. */
+  /** Makes a request at a random instance; with `isClaimed` it runs only once. */
   async request(isClaimed: boolean): Promise<void> {
     const index = Math.floor(this.random() * this.instances.length);
     const instance = this.instances[index];
@@ -118,38 +118,38 @@
     return true;
   }
 
-  /** The store as instances use it, each call noted. */
-  private countingStore(): ports.ObjectStore {
+  /** The object API as instances see it; counts each call. */
+  private createCountingStore(): ports.ObjectStore {
     const {store, counter} = this;
     return {
       get: (kind, name) => {
-        counter.note('get', kind);
+        counter.record('get', kind);
         return store.get(kind, name);
       },
       list: (kind, prefix) => {
-        counter.note('list', kind);
+        counter.record('list', kind);
         return store.list(kind, prefix);
       },
       create: (kind, name, value) => {
-        counter.note('create', kind);
+        counter.record('create', kind);
         return store.create(kind, name, value);
       },
       update: (kind, name, value, version) => {
-        counter.note('update', kind);
+        counter.record('update', kind);
         return store.update(kind, name, value, version);
       },
       delete: (kind, name, version) => {
-        counter.note('delete', kind);
+        counter.record('delete', kind);
         return store.delete(kind, name, version);
       },
       watch: (kind, after, waitMs, signal) => {
-        counter.note('watch', kind);
+        counter.record('watch', kind);
         return store.watch(kind, after, waitMs, signal);
       },
     };
   }
 
-  private listed(): readonly ports.ListedInstance[] {
+  private listInstances(): readonly ports.ListedInstance[] {
     return this.instances.map(({id, address}, index) => ({
       id,
       address,
@@ -165,7 +165,7 @@
     const address = `10.0.0.${index}:80`;
     const zone = this.zones[index % this.zones.length] ?? '';
     const {clock, random} = this;
-    const store = this.countingStore();
+    const store = this.createCountingStore();
     const peers = new membership.PeerTable({
       id,
       address,
@@ -176,8 +176,10 @@
     const follower = new membership.ConfigurationFollower({
       environment: ENVIRONMENT,
       store,
-      instances: {list: () => Promise.resolve(purify.Right(this.listed()))},
-      transport: (to, text) => this.carry(to, text),
+      instances: {
+        list: () => Promise.resolve(purify.Right(this.listInstances())),
+      },
+      transport: (to, text) => this.deliver(to, text),
       peers,
       clock,
       random,
@@ -188,7 +190,7 @@
       id,
       address,
       follower,
-      duties: new membership.LeasedTaskRunner({
+      leasedTasks: new membership.LeasedTaskRunner({
         store,
         clock,
         random,
@@ -207,14 +209,14 @@
         clock,
         random,
         incarnation: `${id}.1`,
-        // Copies go to peers, not to the platform.
+        // Copies are sent to peers, so they make no calls to the platform.
         copyToPeers: () => Promise.resolve(2),
       }),
       server: protocol.createPeerServer(follower.handlers()),
     };
   }
 
-  private async carry(
+  private async deliver(
     address: string,
     text: string,
   ): Promise<purify.Either<protocol.PeerError, string>> {
@@ -222,6 +224,9 @@
     await this.clock.sleep(1 + this.random());
     return to
       ? purify.Right(await to.server.handle(text))
-      : purify.Left({code: 'not_sent', message: 'no such instance'});
+      : purify.Left({
+          code: 'not_sent',
+          message: `no instance has the address ${address}`,
+        });
   }
 }
--- a/packages/bench/src/models/zone-service.ts
+++ b/packages/bench/src/models/zone-service.ts
@@ -1,63 +1,63 @@
 /**
- * Upstreams in several availability zones, of which one is taken out and
- * brought back: door checks and longer work placed by entry instances that
- * learn of each change a little late. Time goes on in ticks.
+ * Simulates upstreams in several availability zones, one of which is taken out
+ * of service and brought back. Entry instances place door checks and longer
+ * requests, and learn of each change with a lag. Time advances in ticks.
  */
 import * as hdr from 'hdr-histogram-js';
 import * as decisions from '@amaranthknot/decisions';
 import * as seededRandom from '@amaranthknot/fakes';
 
-/** One run. */
+/** Conditions of a run. */
 export interface ZoneScenario {
   readonly zones: number;
-  /** How long the first zone is out, in milliseconds. */
+  /** How long the first zone is out of service, in milliseconds. */
   readonly absenceMs: number;
-  /** Whether a returning zone is ramped, and cold upstreams by grants. */
+  /** Whether a returning zone is ramped up, and cold upstreams need grants. */
   readonly isRamped: boolean;
 }
 
-/** What came of a run. */
+/** Result of a run. */
 export interface ZoneRun {
   readonly accepted: number;
   readonly finished: number;
-  /** p99 of door checks in milliseconds: before, while out, after. */
+  /** p99 of door checks in milliseconds: before, during, after the absence. */
   readonly steadyP99: number;
   readonly outP99: number;
   readonly returnP99: number;
-  /** From the operators' command to the last new work in the zone. */
+  /** Time from the operators' command to the last new request in the zone. */
   readonly lastNewWorkMs: number;
-  /** Highest work at once after the return, as a ratio to what is borne. */
-  readonly highestRatio: number;
-  /** Time from the return until the zone has nine tenths of its share. */
-  readonly backMs: number;
+  /** Highest ratio of requests to an upstream's capacity after the return. */
+  readonly maxLoadRatio: number;
+  /** Time from the return until the zone gets nine tenths of its share. */
+  readonly restoredAfterMs: number;
 }
 
 const TICK_MS = 10;
 const OUT_AT_MS = 60_000;
-const AFTER_MS = 150_000;
-/** Longest time until an instance has a changed configuration. */
-const SPREAD_MS = 1_500;
+const AFTER_RETURN_MS = 150_000;
+/** Longest time until a configuration change is active on an instance. */
+const MAX_CHANGE_LAG_MS = 1_500;
 const INSTANCES_PER_ZONE = 2;
 const UPSTREAMS_PER_ZONE = 3;
 const SLOTS = 16;
-/** Load of all zones together; with one of three out it is three quarters. */
+/** Load of all zones together; three quarters with one of three zones out. */
 const UTILISATION = 0.5;
-const DOOR_SHARE = 0.2;
-const DOOR_MS = 50;
-const LONG_MS = 600;
-/** Full batches make each piece of work half as long again. */
+const DOOR_CHECK_SHARE = 0.2;
+const DOOR_CHECK_MS = 50;
+const LONG_WORK_MS = 600;
+/** A full batch makes each request take half as long again. */
 const BATCH_SLOWDOWN = 0.5;
 const CURVE: decisions.WarmUpCurve = {
   coldSlots: 2,
   fullSlots: SLOTS,
   warmMs: 45_000,
 };
-const SHARE_REACHED = 0.9;
-const ASK_EVERY_MS = 500;
+const RESTORED_FRACTION = 0.9;
+const GRANT_REQUEST_INTERVAL_MS = 500;
 
 interface Request {
   readonly atMs: number;
-  readonly isDoor: boolean;
+  readonly isDoorCheck: boolean;
   readonly instance: number;
 }
 
@@ -77,7 +77,7 @@
 
 interface Instance {
   readonly index: number;
-  /** When each change of the first zone is in force here. */
+  /** When each change of the first zone is active on this instance. */
   readonly outAtMs: number;
   readonly inAtMs: number;
   status: decisions.ZoneStatus;
@@ -96,11 +96,11 @@
 const countOwn = (upstream: Upstream, instance: Instance): number =>
   upstream.work.filter(work => work.request.instance === instance.index).length;
 
-/** What an upstream bears now. */
-const findBound = (upstream: Upstream, nowMs: number): number =>
+/** Requests that an upstream can take now. */
+const findCapacity = (upstream: Upstream, nowMs: number): number =>
   decisions.findWarmUpSlots(CURVE, nowMs - upstream.coldSinceMs);
 
-/** Whether an instance may send to an upstream of the returned zone. */
+/** Whether an instance may send to an upstream; cold ones need a grant. */
 const mayUse = (
   upstream: Upstream,
   instance: Instance,
@@ -119,7 +119,7 @@
   return decisions.mayStartOnGrant(grant, own, nowMs);
 };
 
-const askForGrant = (
+const requestGrant = (
   upstream: Upstream,
   instance: Instance,
   nowMs: number,
@@ -144,9 +144,9 @@
 };
 
 /**
- * Whether an instance may start new work. The first is cut off from platform
- * and peers just as the zone is taken out, until the zone's return; it judges
- * by itself how long its configuration may be served.
+ * Whether an instance may start new requests. The first instance is cut off from
+ * the platform and its peers from the moment the zone is taken out until it
+ * returns, and decides by itself how long its configuration may be used.
  */
 const isServing = (
   instance: Instance,
@@ -165,8 +165,11 @@
   return decisions.mayStartWork(freshness);
 };
 
-/** Two choices by load; a zone's weight is the chance that a choice counts. */
-const place = (
+/**
+ * Chooses the less loaded of two random upstreams. An upstream in the first zone
+ * is a candidate with the probability of the zone's weight.
+ */
+const choosePlacement = (
   upstreams: readonly Upstream[],
   instance: Instance,
   nowMs: number,
@@ -190,7 +193,7 @@
 const createHistogram = (): hdr.Histogram =>
   hdr.build({lowestDiscernibleValue: 1, highestTrackableValue: 600_000});
 
-/** Runs one zone out and back. */
+/** Simulates a zone that is taken out of service and brought back. */
 export const runZone = (
   scenario: ZoneScenario,
   random: () => number,
@@ -202,31 +205,33 @@
     {length: zones * INSTANCES_PER_ZONE},
     (_, index) => ({
       index,
-      // The one cut off doesn't learn of the change at all.
-      outAtMs: index === 0 ? Infinity : OUT_AT_MS + random() * SPREAD_MS,
-      inAtMs: inAtMs + random() * SPREAD_MS,
+      // The instance that is cut off never learns of the change.
+      outAtMs:
+        index === 0 ? Infinity : OUT_AT_MS + random() * MAX_CHANGE_LAG_MS,
+      inAtMs: inAtMs + random() * MAX_CHANGE_LAG_MS,
       status: decisions.ZONE_IN,
     }),
   );
-  const meanMs = DOOR_SHARE * DOOR_MS + (1 - DOOR_SHARE) * LONG_MS;
+  const meanMs =
+    DOOR_CHECK_SHARE * DOOR_CHECK_MS + (1 - DOOR_CHECK_SHARE) * LONG_WORK_MS;
   const slowdown = 1 + BATCH_SLOWDOWN * UTILISATION;
   const perTick =
     (UTILISATION * SLOTS * upstreams.length * TICK_MS) / (meanMs * slowdown);
   const steady = createHistogram();
   const out = createHistogram();
-  const back = createHistogram();
+  const afterReturn = createHistogram();
   let waiting: Request[] = [];
   let nextArrivalMs = 0;
   let accepted = 0;
   let finished = 0;
   let lastNewWorkMs = 0;
-  let highestRatio = 0;
-  let backMs = Infinity;
+  let maxLoadRatio = 0;
+  let restoredAfterMs = Infinity;
   let zoneShare = 1 / zones;
-  const endMs = inAtMs + AFTER_MS;
+  const endMs = inAtMs + AFTER_RETURN_MS;
   for (let nowMs = 0; nowMs < endMs || finished < accepted; nowMs += TICK_MS) {
     if (nowMs === inAtMs) {
-      // A long absence has emptied the caches: its upstreams are cold.
+      // After a long absence the zone's upstreams have lost their caches.
       const isLong = absenceMs > decisions.ZONE_TIMING.graceMs;
       for (const upstream of upstreams.filter(({zone}) => zone === 0)) {
         upstream.coldSinceMs = isLong ? nowMs : Number.NEGATIVE_INFINITY;
@@ -246,47 +251,52 @@
               ? steady
               : request.atMs < inAtMs
                 ? out
-                : back;
-          if (request.isDoor) {
+                : afterReturn;
+          if (request.isDoorCheck) {
             phase.recordValue(Math.max(1, endsAtMs - request.atMs));
           }
         }
       }
       upstream.work = upstream.work.filter(work => work.endsAtMs > nowMs);
       const isWarming = nowMs - upstream.coldSinceMs < CURVE.warmMs;
-      if (isWarming && scenario.isRamped && nowMs % ASK_EVERY_MS === 0) {
+      if (
+        isWarming &&
+        scenario.isRamped &&
+        nowMs % GRANT_REQUEST_INTERVAL_MS === 0
+      ) {
         for (const instance of instances) {
-          askForGrant(upstream, instance, nowMs);
+          requestGrant(upstream, instance, nowMs);
         }
       }
     }
     while (nextArrivalMs <= nowMs && nowMs < endMs) {
       nextArrivalMs += seededRandom.drawExponential(random, TICK_MS / perTick);
-      const isDoor = random() < DOOR_SHARE;
+      const isDoorCheck = random() < DOOR_CHECK_SHARE;
       const instance = Math.floor(random() * instances.length);
-      waiting.push({atMs: nowMs, isDoor, instance});
+      waiting.push({atMs: nowMs, isDoorCheck, instance});
       accepted++;
     }
-    const left: Request[] = [];
-    // Door checks first, as admission orders them.
-    waiting.sort((a, b) => Number(b.isDoor) - Number(a.isDoor));
+    const unplaced: Request[] = [];
+    // Admission orders door checks first.
+    waiting.sort((a, b) => Number(b.isDoorCheck) - Number(a.isDoorCheck));
     for (const request of waiting) {
       const asked = instances[request.instance];
-      // A caller refused by an instance that is cut off asks the next one.
+      // If an instance that is cut off refuses a caller, it asks the next one.
       const instance =
         asked && isServing(asked, nowMs, instances.length)
           ? asked
           : instances[request.instance + 1];
       const upstream =
-        instance && place(upstreams, instance, nowMs, scenario, random);
+        instance &&
+        choosePlacement(upstreams, instance, nowMs, scenario, random);
       if (!upstream) {
-        left.push(request);
+        unplaced.push(request);
         continue;
       }
       const load = upstream.work.length / SLOTS;
-      const base = request.isDoor
-        ? DOOR_MS
-        : seededRandom.drawExponential(random, LONG_MS);
+      const base = request.isDoorCheck
+        ? DOOR_CHECK_MS
+        : seededRandom.drawExponential(random, LONG_WORK_MS);
       const endsAtMs = nowMs + base * (1 + BATCH_SLOWDOWN * load);
       upstream.work.push({request, endsAtMs});
       if (upstream.zone === 0) {
@@ -294,30 +304,33 @@
           lastNewWorkMs = nowMs - OUT_AT_MS;
         }
         if (nowMs >= inAtMs) {
-          const bound = findBound(upstream, nowMs);
-          highestRatio = Math.max(highestRatio, upstream.work.length / bound);
+          const bound = findCapacity(upstream, nowMs);
+          maxLoadRatio = Math.max(maxLoadRatio, upstream.work.length / bound);
         }
       }
       if (nowMs >= inAtMs) {
-        const isThere = upstream.zone === 0 ? 1 : 0;
-        zoneShare += 0.002 * (isThere - zoneShare);
-        if (zoneShare >= SHARE_REACHED / zones && backMs === Infinity) {
-          backMs = nowMs - inAtMs;
+        const inZone = upstream.zone === 0 ? 1 : 0;
+        zoneShare += 0.002 * (inZone - zoneShare);
+        if (
+          zoneShare >= RESTORED_FRACTION / zones &&
+          restoredAfterMs === Infinity
+        ) {
+          restoredAfterMs = nowMs - inAtMs;
         }
       } else if (nowMs >= OUT_AT_MS) {
         zoneShare = 0;
       }
     }
-    waiting = left;
+    waiting = unplaced;
   }
   return {
     accepted,
     finished,
     steadyP99: steady.getValueAtPercentile(99),
     outP99: out.getValueAtPercentile(99),
-    returnP99: back.getValueAtPercentile(99),
+    returnP99: afterReturn.getValueAtPercentile(99),
     lastNewWorkMs,
-    highestRatio,
-    backMs,
+    maxLoadRatio,
+    restoredAfterMs,
   };
 };
