--- a/packages/bench/src/overhead/caller.ts
+++ b/packages/bench/src/overhead/caller.ts
@@ -1,23 +1,23 @@
 /**
- * A caller that asks for as little of the process as it can: the load of the
- * overhead bench runs beside the instance it measures.
+ * HTTP caller that uses little CPU time, because the load of the overhead bench
+ * runs in the same process as the instance that it measures.
  */
 import * as http from 'node:http';
 
-/** Whom to ask, and what. */
-export interface Target {
+/** Address, headers and bodies of the requests. */
+export interface CallerTarget {
   /** `ip:port`. */
   readonly address: string;
   readonly headers: Readonly<Record<string, string>>;
-  /** Body of the request with the given number. */
+  /** Creates the body of the request with the given number, from 0. */
   readonly createBody: (number: number) => string;
 }
 
-/** What came back. */
+/** Measurements of one answer. */
 export interface Reply {
   readonly status: number;
   readonly bytes: number;
-  /** Events of a streamed answer, its end among them. */
+  /** Number of events of a streamed answer, including its end. */
   readonly events: number;
   readonly latencyMs: number;
 }
@@ -34,14 +34,14 @@
   return count;
 };
 
-/** Sends requests over kept connections. */
+/** Sends requests over keep-alive connections. */
 export class Caller {
   private readonly agent = new http.Agent({keepAlive: true});
   private sent = 0;
 
-  constructor(private readonly target: Target) {}
+  constructor(private readonly target: CallerTarget) {}
 
-  /** Sends one request; rejects when the connection breaks. */
+  /** Sends one request; rejects if the connection breaks. */
   send(): Promise<Reply> {
     const {address, headers, createBody} = this.target;
     const [host = '', port = ''] = address.split(':');
--- a/packages/bench/src/overhead/load.ts
+++ b/packages/bench/src/overhead/load.ts
@@ -1,9 +1,9 @@
-/** Load on one target: at a fixed rate, or as much as some callers ask. */
+/** Generates load: open loop at a fixed rate, or closed loop with callers. */
 import * as timers from 'node:timers/promises';
 import type * as caller from './caller.js';
 
-/** What a run of load gave. */
-export interface Run {
+/** Replies and cost of one load run. */
+export interface LoadRun {
   readonly replies: readonly caller.Reply[];
   readonly seconds: number;
   /** CPU time of the whole process, in milliseconds. */
@@ -11,27 +11,29 @@
 }
 
 const measure = async (
-  drive: (replies: caller.Reply[]) => Promise<void>,
-): Promise<Run> => {
+  sendAll: (replies: caller.Reply[]) => Promise<void>,
+): Promise<LoadRun> => {
   const replies: caller.Reply[] = [];
   const cpu = process.cpuUsage();
   const started = performance.now();
-  await drive(replies);
+  await sendAll(replies);
   const {user, system} = process.cpuUsage(cpu);
   const seconds = (performance.now() - started) / 1000;
   const failed = replies.find(reply => reply.status !== 200);
   if (failed) {
-    throw new Error(`a request was answered ${failed.status}`);
+    throw new Error(
+      `load run failed: a request was answered ${failed.status}, expected 200`,
+    );
   }
   return {replies, seconds, cpuMs: (user + system) / 1000};
 };
 
-/** Sends at a rate that does not wait for answers. */
+/** Sends `count` requests at a fixed rate without waiting for answers. */
 export const driveAtRate = (
   target: caller.Caller,
   perSecond: number,
   count: number,
-): Promise<Run> =>
+): Promise<LoadRun> =>
   measure(async replies => {
     const started = performance.now();
     const pending: Promise<unknown>[] = [];
@@ -46,12 +48,15 @@
     await Promise.all(pending);
   });
 
-/** Lets `callers` ask one request after the other, `count` in all. */
-export const driveClosed = (
+/**
+ * Sends `count` requests in all; each of `callers` sends its next request when
+ * the previous one is answered.
+ */
+export const driveClosedLoop = (
   target: caller.Caller,
   callers: number,
   count: number,
-): Promise<Run> =>
+): Promise<LoadRun> =>
   measure(async replies => {
     let left = count;
     const ask = async (): Promise<void> => {
--- a/packages/bench/src/overhead/setup.ts
+++ b/packages/bench/src/overhead/setup.ts
@@ -1,11 +1,11 @@
-/** The deployment that the overhead bench measures. */
+/** Starts the deployment that the overhead bench measures. */
 import * as crypto from 'node:crypto';
 import * as amaranthknot from '@amaranthknot/amaranthknot';
 import * as configuration from '@amaranthknot/configuration';
 import type * as ports from '@amaranthknot/ports';
 import * as caller from './caller.js';
 
-/** Words of an answer: some tokens of a short one. */
+/** The fake engine repeats the prompt, one word a token: a short answer. */
 const PROMPT = 'one two three four five six seven eight nine ten eleven twelve';
 
 const MODEL = 'small';
@@ -13,14 +13,14 @@
 const WORKSPACES = 10;
 const ZONES = ['zone-a', 'zone-b', 'zone-c'];
 
-const keyOf = (workspace: number): string => `bench-key-${workspace}`;
+const createKey = (workspace: number): string => `bench-key-${workspace}`;
 
-const digestOf = (workspace: number): string =>
-  crypto.createHash('sha256').update(keyOf(workspace)).digest('hex');
+const createKeyDigest = (workspace: number): string =>
+  crypto.createHash('sha256').update(createKey(workspace)).digest('hex');
 
 const createWorkspace = (number: number): string => `
 [workspaces.w${number}]
-keys = ["sha256:${digestOf(number)}"]
+keys = ["sha256:${createKeyDigest(number)}"]
 quality_target = 0.9
 priority = "interactive"
 weight = 1
@@ -51,9 +51,9 @@
     .unsafeCoerce();
 
 /**
- * One engine, so that both ways end at the same stand-in; entry instances in
- * three zones, so that bills are copied as in a deployment. Only the first is
- * asked.
+ * The only engine, so that direct requests and those through an entry instance
+ * reach the same fake. Entry instances run in three zones, so that bills are
+ * copied as in a deployment; only the first one gets requests.
  */
 const ENGINE: ports.ListedInstance = {
   id: 'engine-1',
@@ -64,8 +64,8 @@
   serves: [`${MODEL}@${VERSION}`],
 };
 
-/** Both ways to the same engine. */
-export interface Setup {
+/** Callers of the engine: directly, and through an entry instance. */
+export interface OverheadSetup {
   readonly direct: caller.Caller;
   readonly entry: caller.Caller;
   stop(): Promise<void>;
@@ -81,7 +81,7 @@
 export const startSetup = async (options: {
   readonly stream: boolean;
   readonly tokenMs: number;
-}): Promise<Setup> => {
+}): Promise<OverheadSetup> => {
   const {stream, tokenMs} = options;
   const deployment = await amaranthknot.startEmbedded({
     environment: 'bench',
@@ -104,7 +104,7 @@
   });
   const entry = new caller.Caller({
     address: deployment.addresses[0] ?? '',
-    headers: {authorization: `Bearer ${keyOf(WORKSPACES - 1)}`},
+    headers: {authorization: `Bearer ${createKey(WORKSPACES - 1)}`},
     createBody: () => createBody({model: MODEL, stream}),
   });
   return {
--- a/packages/bench/tests/check-histories.test.ts
+++ b/packages/bench/tests/check-histories.test.ts
@@ -10,8 +10,8 @@
 
 const {expect} = chai;
 
-/** Seeds in which each planted fault must be seen at least once. */
-const PLANT_SEEDS = 60;
+/** Number of seeds within which each injected fault must be detected. */
+const FAULT_SEEDS = 60;
 const CLEAN_SEEDS = 40;
 
 type Create = (
@@ -33,14 +33,14 @@
   }),
 });
 
-/** Turns one failed create of a kind into a success. */
-const trustCreate = (
-  trustedKind: string,
+/** Turns creates of one kind that failed with `code` into successes. */
+const treatCreateErrorAsSuccess = (
+  trustedObjectKind: string,
   code: ports.StoreErrorCode,
 ): runHistory.RunOptions =>
   replaceCreate(create => async (kind, name, value) => {
     const result = await create(kind, name, value);
-    return kind === trustedKind
+    return kind === trustedObjectKind
       ? result.chainLeft(error =>
           error.code === code
             ? purify.Right({kind, name, value, version: 1})
@@ -49,7 +49,7 @@
       : result;
   });
 
-const nameAtRandom = (): runHistory.RunOptions => {
+const useUniqueSegmentNames = (): runHistory.RunOptions => {
   let count = 0;
   return replaceCreate(create => (kind, name, value) => {
     const unique = kind === ledger.BILL_KIND ? `${name}-${count++}` : name;
@@ -64,180 +64,207 @@
     candidates: peers.candidates.bind(peers),
     isBelievedDead: peers.isBelievedDead.bind(peers),
     send: peers.send.bind(peers),
-    askOwner: peers.askOwner.bind(peers),
+    queryOwner: peers.queryOwner.bind(peers),
     ...replacement,
   }),
 });
 
-const replaceServe = (serve: serveRequest.Service): runHistory.RunOptions => ({
+const replaceHandler = (
+  serve: serveRequest.AttemptHandler,
+): runHistory.RunOptions => ({
   serve,
 });
 
-/** Tells `not_run` of a request whose upstream was cut after the send. */
-const refuseAfterCut = replaceServe(async (instance, request, outside) => {
-  const answers: serveRequest.UpstreamAnswer[] = [];
-  const send = async () => {
-    const answer = await outside.send();
-    answers.push(answer);
-    return answer;
-  };
-  const watched = {...outside, send};
-  const told = await serveRequest.serveRequest(instance, request, watched);
-  return answers.includes('cut') ? 'not_run' : told;
-});
+/** Reports `not_run` for a request whose connection broke after the send. */
+const reportNotRunAfterCut = replaceHandler(
+  async (instance, request, environment) => {
+    const answers: serveRequest.UpstreamAnswer[] = [];
+    const send = async () => {
+      const answer = await environment.send();
+      answers.push(answer);
+      return answer;
+    };
+    const observed = {...environment, send};
+    const result = await serveRequest.serveRequest(instance, request, observed);
+    return answers.includes('cut') ? 'not_run' : result;
+  },
+);
 
-/** Refuses at once and still sends what was queued. */
-const sendAfterRefusal = replaceServe(async (instance, request, outside) => {
-  const told = await serveRequest.serveRequest(instance, request, outside);
-  if (told === 'not_run') {
-    void outside.send();
-  }
-  return told;
-});
+/** Refuses a request and still sends it. */
+const sendAfterRefusal = replaceHandler(
+  async (instance, request, environment) => {
+    const result = await serveRequest.serveRequest(
+      instance,
+      request,
+      environment,
+    );
+    if (result === 'not_run') {
+      void environment.send();
+    }
+    return result;
+  },
+);
 
-const abandonAfterSend = replaceServe(async (instance, request, outside) => {
-  const {identity, fingerprint} = request;
-  const result = await instance.claims.claim(identity, fingerprint);
-  if (result.kind !== 'granted') {
+const abandonAfterSend = replaceHandler(
+  async (instance, request, environment) => {
+    const {identity, fingerprint} = request;
+    const result = await instance.claims.claim(identity, fingerprint);
+    if (result.kind !== 'granted') {
+      return 'unknown';
+    }
+    await environment.send();
+    await instance.claims.abandon(result.claim);
     return 'unknown';
-  }
-  await outside.send();
-  await instance.claims.abandon(result.claim);
-  return 'unknown';
-});
+  },
+);
 
-const billBeforeSend = replaceServe(async (instance, request, outside) => {
-  await instance.bills.record({
-    identity: request.identity.name,
-    workspace: request.identity.workspace,
-    model: 'booking',
-    version: 'v1',
-    cost: 1,
-    tokens: 0,
-    atWallMs: outside.wallTime(),
-  });
-  return serveRequest.serveRequest(instance, request, outside);
-});
+const billBeforeSend = replaceHandler(
+  async (instance, request, environment) => {
+    await instance.bills.record({
+      identity: request.identity.name,
+      workspace: request.identity.workspace,
+      model: 'booking',
+      version: 'v1',
+      cost: 1,
+      tokens: 0,
+      atWallMs: environment.wallTime(),
+    });
+    return serveRequest.serveRequest(instance, request, environment);
+  },
+);
 
-const answerWithoutBill = replaceServe(async (_instance, _request, outside) =>
-  (await outside.send()) === 'cut' ? 'unknown' : 'answered',
+const answerWithoutBill = replaceHandler(
+  async (_instance, _request, environment) =>
+    (await environment.send()) === 'cut' ? 'unknown' : 'answered',
 );
 
-/** Ends an answer whose bill only the instance itself holds. */
-const answerAtRisk = replaceServe(async (instance, request, outside) => {
-  const answers: serveRequest.UpstreamAnswer[] = [];
-  const send = async () => {
-    const answer = await outside.send();
-    answers.push(answer);
-    return answer;
-  };
-  const watched = {...outside, send};
-  const told = await serveRequest.serveRequest(instance, request, watched);
-  return answers.includes('answered') ? 'answered' : told;
-});
+/** Completes an answer whose bill no other instance holds. */
+const answerWithBillAtRisk = replaceHandler(
+  async (instance, request, environment) => {
+    const answers: serveRequest.UpstreamAnswer[] = [];
+    const send = async () => {
+      const answer = await environment.send();
+      answers.push(answer);
+      return answer;
+    };
+    const observed = {...environment, send};
+    const result = await serveRequest.serveRequest(instance, request, observed);
+    return answers.includes('answered') ? 'answered' : result;
+  },
+);
 
-const replayUnknown = replaceServe(async (instance, request, outside) => {
-  const told = await serveRequest.serveRequest(instance, request, outside);
-  return told === 'not_run' ? 'replayed' : told;
-});
+const replayInsteadOfNotRun = replaceHandler(
+  async (instance, request, environment) => {
+    const result = await serveRequest.serveRequest(
+      instance,
+      request,
+      environment,
+    );
+    return result === 'not_run' ? 'replayed' : result;
+  },
+);
 
-/** Gives a claimed request up without abandoning its claim. */
-const leaveClaim: serveRequest.Service = async (instance, request, outside) => {
-  if (!request.idempotent && outside.isGivenUp()) {
+/** Drops a claimed request without abandoning its claim. */
+const keepClaimOnGiveUp: serveRequest.AttemptHandler = async (
+  instance,
+  request,
+  environment,
+) => {
+  if (!request.idempotent && environment.isDroppedByAdmission()) {
     await instance.claims.claim(request.identity, request.fingerprint);
     return 'not_run';
   }
-  return serveRequest.serveRequest(instance, request, outside);
+  return serveRequest.serveRequest(instance, request, environment);
 };
 
-const PLANTS: readonly {
+const INJECTED_FAULTS: readonly {
   readonly fault: string;
   readonly options: () => runHistory.RunOptions;
-  readonly seenBy: histories.CheckName;
+  readonly detectedBy: histories.CheckName;
 }[] = [
   {
-    fault: 'a lost answer to a claim counts as granted',
-    options: () => trustCreate(ledger.CLAIM_KIND, 'unknown'),
-    seenBy: 'sent_at_most_once',
+    fault: 'a claim whose answer was lost counts as granted',
+    options: () => treatCreateErrorAsSuccess(ledger.CLAIM_KIND, 'unknown'),
+    detectedBy: 'sent_at_most_once',
   },
   {
     fault: 'a refused claim counts as granted in an outage',
-    options: () => trustCreate(ledger.CLAIM_KIND, 'unavailable'),
-    seenBy: 'sent_at_most_once',
+    options: () => treatCreateErrorAsSuccess(ledger.CLAIM_KIND, 'unavailable'),
+    detectedBy: 'sent_at_most_once',
   },
   {
     fault: 'claims of owners that may have sent are taken over',
-    options: () => replacePeers({askOwner: () => Promise.resolve('void')}),
-    seenBy: 'sent_at_most_once',
+    options: () => replacePeers({queryOwner: () => Promise.resolve('void')}),
+    detectedBy: 'sent_at_most_once',
   },
   {
     fault: 'a claim is abandoned after its send',
     options: () => abandonAfterSend,
-    seenBy: 'sent_at_most_once',
+    detectedBy: 'sent_at_most_once',
   },
   {
-    fault: 'not_run is told after a send',
-    options: () => refuseAfterCut,
-    seenBy: 'not_run_is_true',
+    fault: 'not_run is reported after a send',
+    options: () => reportNotRunAfterCut,
+    detectedBy: 'not_run_is_true',
   },
   {
     fault: 'a refused request is sent later',
     options: () => sendAfterRefusal,
-    seenBy: 'not_run_is_true',
+    detectedBy: 'not_run_is_true',
   },
   {
-    fault: 'an answer is replayed that no run gave',
-    options: () => replayUnknown,
-    seenBy: 'replay_follows_answer',
+    fault: 'an answer is replayed that no attempt produced',
+    options: () => replayInsteadOfNotRun,
+    detectedBy: 'replay_follows_answer',
   },
   {
-    fault: 'an answer ends without its bill',
+    fault: 'an answer completes without a bill',
     options: () => answerWithoutBill,
-    seenBy: 'answered_is_billed',
+    detectedBy: 'answered_is_billed',
   },
   {
-    fault: 'copies are counted that no peer holds',
+    fault: 'bill copies are counted that no peer holds',
     options: () => replacePeers({send: () => Promise.resolve(true)}),
-    seenBy: 'answered_is_billed',
+    detectedBy: 'answered_is_billed',
   },
   {
-    fault: 'an answer ends whose bill only its instance holds',
-    options: () => answerAtRisk,
-    seenBy: 'answered_is_billed',
+    fault: 'an answer completes whose bill no other instance holds',
+    options: () => answerWithBillAtRisk,
+    detectedBy: 'answered_is_billed',
   },
   {
-    fault: 'claims of given-up attempts are never freed',
-    options: () => replaceServe(leaveClaim),
-    seenBy: 'void_is_freed',
+    fault: 'claims of dropped attempts are never deleted',
+    options: () => replaceHandler(keepClaimOnGiveUp),
+    detectedBy: 'void_is_freed',
   },
   {
-    fault: 'a conflict on a segment counts as all bills written',
-    options: () => trustCreate(ledger.BILL_KIND, 'conflict'),
-    seenBy: 'answered_is_billed',
+    fault: 'a conflict on a bill segment counts as all its bills written',
+    options: () => treatCreateErrorAsSuccess(ledger.BILL_KIND, 'conflict'),
+    detectedBy: 'answered_is_billed',
   },
   {
-    fault: 'a lost answer to a segment counts as written',
-    options: () => trustCreate(ledger.BILL_KIND, 'unknown'),
-    seenBy: 'answered_is_billed',
+    fault: 'a bill segment whose answer was lost counts as written',
+    options: () => treatCreateErrorAsSuccess(ledger.BILL_KIND, 'unknown'),
+    detectedBy: 'answered_is_billed',
   },
   {
-    fault: 'segments have names that no other writer meets',
-    options: nameAtRandom,
-    seenBy: 'billed_once',
+    fault: 'each write of a bill segment uses a new name',
+    options: useUniqueSegmentNames,
+    detectedBy: 'billed_once',
   },
   {
     fault: 'a bill is recorded before the send',
     options: () => billBeforeSend,
-    seenBy: 'billed_was_sent',
+    detectedBy: 'billed_was_sent',
   },
 ];
 
-const findChecks = async (
+const findBrokenChecks = async (
   options: () => runHistory.RunOptions,
-  wanted: histories.CheckName,
+  expected: histories.CheckName,
 ): Promise<ReadonlySet<histories.CheckName>> => {
   const found = new Set<histories.CheckName>();
-  for (let seed = 1; seed <= PLANT_SEEDS && !found.has(wanted); seed++) {
+  for (let seed = 1; seed <= FAULT_SEEDS && !found.has(expected); seed++) {
     const history = await runHistory.runHistory(seed, options());
     for (const violation of checkHistory.checkHistory(history)) {
       found.add(violation.check);
@@ -247,11 +274,11 @@
 };
 
 describe('histories of claims and bills', () => {
-  // What a user would see: a seat booked twice, a booking refused as not run
-  // that stands all the same, or a bill missing or doubled. Callers retry on
-  // several instances at one moment while instances are killed, restarted or
-  // paused and the platform is out, slow, stale or loses answers.
-  it(`hold over seeds 1 to ${CLEAN_SEEDS}`, async () => {
+  // Guards against requests that run twice, requests reported as `not_run` that
+  // ran, and bills that are missing or duplicated. Callers retry on several
+  // instances at once while instances are killed, restarted or paused and the
+  // platform is unavailable, slow, stale or loses answers.
+  it(`pass all checks for seeds 1 to ${CLEAN_SEEDS}`, async () => {
     for (let seed = 1; seed <= CLEAN_SEEDS; seed++) {
       const history = await runHistory.runHistory(seed);
       const violations = checkHistory.checkHistory(history);
@@ -259,15 +286,15 @@
     }
   });
 
-  it('are equal for equal seeds', async () => {
+  it('are identical for the same seed', async () => {
     const first = await runHistory.runHistory(3);
     const second = await runHistory.runHistory(3);
     expect(second).to.deep.equal(first);
   });
 
-  for (const {fault, options, seenBy} of PLANTS) {
-    it(`show when ${fault}`, async () => {
-      expect([...(await findChecks(options, seenBy))]).to.include(seenBy);
+  for (const {fault, options, detectedBy: seenBy} of INJECTED_FAULTS) {
+    it(`fail a check when ${fault}`, async () => {
+      expect([...(await findBrokenChecks(options, seenBy))]).to.include(seenBy);
     });
   }
 });
--- a/packages/bench/tests/cold-upstream.test.ts
+++ b/packages/bench/tests/cold-upstream.test.ts
@@ -6,11 +6,11 @@
 
 const createScenario = (
   viewLagMs: number,
-  agreed: Partial<coldUpstream.WarmUpScenario['timing']> = {},
+  timing: Partial<coldUpstream.WarmUpScenario['timing']> = {},
 ): coldUpstream.WarmUpScenario => ({
   instances: 7,
   curve: {coldSlots: 4, fullSlots: 64, warmMs: 60_000},
-  timing: {termMs: 1_000, drainMs: 5_000, viewLagMs: 3_000, ...agreed},
+  timing: {termMs: 1_000, drainMs: 5_000, viewLagMs: 3_000, ...timing},
   workMs: 800,
   replaceEveryMs: 2_000,
   viewLagMs,
@@ -18,27 +18,27 @@
   lengthMs: 90_000,
 });
 
-const findHighest = (scenario: coldUpstream.WarmUpScenario): number =>
+const findMaxLoadRatio = (scenario: coldUpstream.WarmUpScenario): number =>
   Math.max(
     ...SEEDS.map(
       seed =>
         coldUpstream.runWarmUp(scenario, seededRandom.createRandom(seed))
-          .highestRatio,
+          .maxLoadRatio,
     ),
   );
 
-describe('cold upstream among instances with different views', () => {
-  // Instances are replaced every two seconds and learn of it up to three
-  // seconds late, so that two may think themselves first. The upstream must
-  // not get more than it bears from all of them together.
-  it('gets no more than it bears', () => {
-    chai.expect(findHighest(createScenario(3_000))).to.be.at.most(1);
+describe('runWarmUp with instances whose views differ', () => {
+  // Instances are replaced every 2 s and learn of it up to 3 s late, so that two
+  // may believe themselves the issuer. Together they must not overload the
+  // upstream.
+  it('keeps the work of all instances within the capacity of the upstream', () => {
+    chai.expect(findMaxLoadRatio(createScenario(3_000))).to.be.at.most(1);
   });
 
-  // Planted fault: views lag by more than the instances agreed on, and a new
-  // issuer doesn't wait for grants of the one before.
-  it('is seen to get more when issuers do not wait', () => {
+  // Injected fault: views lag by more than the timing timing, and a new issuer
+  // doesn't wait for the grants of the previous one to expire.
+  it('detects overload when new issuers do not wait', () => {
     const faulty = createScenario(3_000, {viewLagMs: 0, drainMs: 0});
-    chai.expect(findHighest(faulty)).to.be.above(1);
+    chai.expect(findMaxLoadRatio(faulty)).to.be.above(1);
   });
 });
