--- a/packages/amaranthknot/src/bill-copy-wiring.ts
+++ b/packages/amaranthknot/src/bill-copy-wiring.ts
@@ -94,7 +94,7 @@
 };
 
 /** Creates the replicator of this instance's pending bills. */
-export const createPeerCopies = (
+export const createBillReplicator = (
   get: instanceComponents.InstanceResolver,
 ): ledger.BillReplicator =>
   new ledger.BillReplicator({
@@ -111,7 +111,7 @@
 ): protocol.Result<'copy_bills'> => {
   const bills = params.bills as readonly ledger.PendingBill[];
   const {owner: incarnation, writtenLanes} = params;
-  const isStored = get('copyHolder').store({incarnation, bills, writtenLanes});
+  const isStored = get('copyStore').store({incarnation, bills, writtenLanes});
   return {accepted: isStored ? bills.length : 0};
 };
 
@@ -132,8 +132,8 @@
 export const maintainCopies = async (
   get: instanceComponents.InstanceResolver,
 ): Promise<void> => {
-  await get('peerCopies').refreshReplicas(get('incarnation'));
-  const recovered = await get('copyHolder').recoverDead(
+  await get('billReplicator').refreshReplicas(get('incarnation'));
+  const recovered = await get('copyStore').recoverDead(
     incarnation => isDead(get, incarnation),
     (incarnation, pending) => get('bills').recover(incarnation, pending),
   );
--- a/packages/amaranthknot/src/commands/demo-requests.ts
+++ b/packages/amaranthknot/src/commands/demo-requests.ts
@@ -8,11 +8,11 @@
 /** Number of bills: two plain answers, one stream, one booking. */
 export const EXPECTED_BILLS = 4;
 
-/** Result of one request; `held` tells whether it was as expected. */
+/** Result of one request; `passed` tells whether it was as expected. */
 export interface DemoResult {
   readonly name: string;
   readonly ranOn: string;
-  readonly held: boolean;
+  readonly passed: boolean;
   readonly detail: string;
 }
 
@@ -70,19 +70,19 @@
 ): Promise<DemoResult> => {
   const reply = await ask(address, prompt, false);
   const ranOn = modelOf(reply);
-  const held = reply.status === 200 && expectedModel.test(ranOn);
-  return {name, ranOn, held, detail: `status ${reply.status}`};
+  const passed = reply.status === 200 && expectedModel.test(ranOn);
+  return {name, ranOn, passed, detail: `status ${reply.status}`};
 };
 
 const askStreamed = async (address: string): Promise<DemoResult> => {
   const reply = await ask(address, 'a welcome pack, please', true);
   const events = reply.text.split('\n\n').filter(event => event !== '');
   const first = events[0]?.slice('data: '.length) ?? '{}';
-  const held = reply.status === 200 && events.at(-1) === 'data: [DONE]';
+  const passed = reply.status === 200 && events.at(-1) === 'data: [DONE]';
   return {
     name: 'a streamed answer',
     ranOn: modelOf({status: reply.status, text: first}),
-    held,
+    passed,
     detail: `${events.length} events`,
   };
 };
@@ -100,7 +100,7 @@
   return {
     name: 'a booking sent twice under one key',
     ranOn: 'bookings',
-    held:
+    passed:
       runs.length === 1 && first.status === 200 && second.text === first.text,
     detail: `ran ${runs.length} time(s)`,
   };
--- a/packages/amaranthknot/src/commands/demo.ts
+++ b/packages/amaranthknot/src/commands/demo.ts
@@ -66,7 +66,7 @@
     `${cells.map((cell, i) => cell.padEnd([42, 26, 12, 6][i] ?? 0)).join(' ')}\n`;
   streams.out(row(['request', 'ran on', 'held', '']));
   for (const result of results) {
-    const held = result.held ? 'yes' : 'NO';
+    const held = result.passed ? 'yes' : 'NO';
     streams.out(row([result.name, result.ranOn, held, result.detail]));
   }
   streams.out('\n');
@@ -83,7 +83,7 @@
     `\n${billed} bills for ${expected} answered requests, ` +
       `${bills.duplicates} doubled, total cost ${bills.cost.toFixed(5)}\n`,
   );
-  return isBilledOnce && results.every(result => result.held);
+  return isBilledOnce && results.every(result => result.passed);
 };
 
 const run = async (
--- a/packages/amaranthknot/src/commands/promote.ts
+++ b/packages/amaranthknot/src/commands/promote.ts
@@ -66,8 +66,8 @@
 ): Promise<purify.Either<outcome.Failure, Pair>> => {
   const source = await activeDocument.readActive(store, from);
   const target = await activeDocument.findActive(store, to);
-  return source.chain(tried =>
-    target.map(found => ({source: tried, target: found})),
+  return source.chain(active =>
+    target.map(found => ({source: active, target: found})),
   );
 };
 
--- a/packages/amaranthknot/src/entry-instance.ts
+++ b/packages/amaranthknot/src/entry-instance.ts
@@ -21,7 +21,7 @@
 const COPIES_INTERVAL_MS = 3_000;
 
 /** Interval at which void claims are deleted, in milliseconds. */
-const SETTLE_INTERVAL_MS = 3_000;
+const VOID_CLAIMS_INTERVAL_MS = 3_000;
 
 /** Interval at which ratings are sent and collected, in milliseconds. */
 const RATING_INTERVAL_MS = 1_000;
@@ -65,7 +65,7 @@
     const readLoad = loadPoller.createLoadReader(REPORT_TIMEOUT_MS);
     // Before the first request: an upstream is not known to be in cold start
     // until it has reported its load.
-    await loadPoller.pollLoad(get('directory'), get('warmUp'), readLoad);
+    await loadPoller.pollLoad(get('directory'), get('warmUpLimiter'), readLoad);
     if (isListed) {
       get('server').open();
     }
@@ -74,17 +74,19 @@
       get('bills').run(signal),
       this.repeat(LIST_INTERVAL_MS, () => this.refreshAndOpen()),
       this.repeat(loadPoller.REPORT_INTERVAL_MS, () =>
-        loadPoller.pollLoad(get('directory'), get('warmUp'), readLoad),
+        loadPoller.pollLoad(get('directory'), get('warmUpLimiter'), readLoad),
       ),
       this.repeat(entry.GRANT_REQUEST_INTERVAL_MS, () =>
-        get('warmUp').requestGrants(),
+        get('warmUpLimiter').requestGrants(),
       ),
       this.repeat(COPIES_INTERVAL_MS, () => billCopyWiring.maintainCopies(get)),
       this.repeat(entry.SHARES_INTERVAL_MS, () =>
         rolloutWiring.updateRolloutTasks(get, this.rollouts),
       ),
       this.repeat(RATING_INTERVAL_MS, () => this.exchangeRatings()),
-      this.repeat(SETTLE_INTERVAL_MS, () => get('claims').deleteVoidClaims()),
+      this.repeat(VOID_CLAIMS_INTERVAL_MS, () =>
+        get('claims').deleteVoidClaims(),
+      ),
     ]);
     get('logger').info('serving', {
       address: this.options.advertise,
@@ -107,7 +109,7 @@
     get('server').leave();
     // Leased tasks stop first, so that other instances take them over while
     // this one still serves.
-    await get('duties').stop();
+    await get('leasedTaskRunner').stop();
     await get('follower').announceLeaving();
     await clock.sleep(addressMaxAgeMs);
     while (get('server').inProgress > 0 && clock.now() < deadline) {
@@ -118,7 +120,7 @@
       clock,
       random: Math.random,
       bills: get('bills'),
-      holder: get('copyHolder'),
+      holder: get('copyStore'),
       timeoutMs: BILL_DRAIN_TIMEOUT_MS,
     });
     if (!drained) {
@@ -135,7 +137,7 @@
   }
 
   private async exchangeRatings(): Promise<void> {
-    await this.get('ratingDesk')?.exchange();
+    await this.get('ratingSampler')?.exchange();
   }
 
   /** Lists the upstreams, and opens the server on the first success. */
--- a/packages/amaranthknot/src/gateway/fleet-change-logger.ts
+++ b/packages/amaranthknot/src/gateway/fleet-change-logger.ts
@@ -8,7 +8,7 @@
 export interface FleetChangeLoggerOptions {
   readonly now: () => number;
   readonly members: fleet.MemberTable;
-  readonly watching: watchRole.WatchRole;
+  readonly role: watchRole.WatchRole;
   readonly log: telemetry.DecisionLog;
 }
 
@@ -68,15 +68,15 @@
   }
 
   private logRoleChange(): void {
-    const {watching, members, log} = this.options;
-    const isWatcher = watching.isWatcher();
+    const {role, members, log} = this.options;
+    const isWatcher = role.isWatcher();
     if (isWatcher === this.wasWatcher) {
       return;
     }
     this.wasWatcher = isWatcher;
     log.info('watch_role_changed', {
       isWatcher,
-      watchers: watching.findWatchers().map(({id}) => id),
+      watchers: role.findWatchers().map(({id}) => id),
       serving: this.serving.size,
       store: members.self.store,
     });
--- a/packages/amaranthknot/src/gateway/fleet-reports.ts
+++ b/packages/amaranthknot/src/gateway/fleet-reports.ts
@@ -38,14 +38,14 @@
     const {get} = this;
     const now = get('options').clock.now();
     const isFollower = this.isFollower();
-    const known = this.peerGroups.get(address);
-    const keepsGroup = get('watching').isWatcher();
+    const knownGroups = this.peerGroups.get(address);
+    const isWatcher = get('watchRole').isWatcher();
     return {
       from: get('members').self,
-      watchers: known ? [] : [...get('watching').findWatchers()],
-      groups: keepsGroup ? [...get('members').groupStates(now)] : [],
-      groupMembers: keepsGroup
-        ? [...get('members').groupMembersNewerThan(known ?? [], now)]
+      watchers: knownGroups ? [] : [...get('watchRole').findWatchers()],
+      groups: isWatcher ? [...get('members').groupStates(now)] : [],
+      groupMembers: isWatcher
+        ? [...get('members').groupMembersNewerThan(knownGroups ?? [], now)]
         : [],
       views: [...get('relay').states()],
       // A follower reports these to its watcher alone.
@@ -96,7 +96,7 @@
     const exchanged = this.sessionsExchangedWith(name);
     this.exchangedSessions = exchanged;
     this.reportedCounts = get('rollouts').pinnedCounts();
-    const isWatcher = get('watching').isWatcher();
+    const isWatcher = get('watchRole').isWatcher();
     return {
       from: get('members').self,
       isWatcher,
@@ -147,7 +147,7 @@
   /** Applies a watcher's summary, unless this instance is a watcher itself. */
   applySummary(watcher: protocol.Member, summary: protocol.FleetSummary): void {
     const {get} = this;
-    if (get('watching').isWatcher()) {
+    if (get('watchRole').isWatcher()) {
       return;
     }
     const {membersVersion, members, upstreams, limits, evidence, rollouts} =
@@ -169,7 +169,7 @@
   private isFollower(): boolean {
     const {get} = this;
     const now = get('options').clock.now();
-    return get('members').hasWatcherList(now) && !get('watching').isWatcher();
+    return get('members').hasWatcherList(now) && !get('watchRole').isWatcher();
   }
 
   private sessionsExchangedWith(watcher: string): ExchangedSessions {
--- a/packages/amaranthknot/src/gateway/gateway-components.ts
+++ b/packages/amaranthknot/src/gateway/gateway-components.ts
@@ -25,7 +25,7 @@
 }
 
 /** The reflector of each followed kind. */
-export type Followers = Readonly<
+export type Reflectors = Readonly<
   Record<gatewayState.FollowedKind, fleet.KindReflector>
 >;
 
@@ -35,26 +35,26 @@
   readonly log: telemetry.DecisionLog;
   readonly metrics: telemetry.GatewayMetrics;
   readonly latencies: decisions.LatencyEstimates;
-  readonly capable: gateway.EscalationPolicy;
+  readonly escalationPolicy: gateway.EscalationPolicy;
   readonly store: ports.StatusStore;
   readonly views: gatewayState.ViewsByKind;
   readonly state: gatewayState.GatewayState;
-  readonly followers: Followers;
+  readonly reflectors: Reflectors;
   /** Applies a view that changed, and wakes the peers that wait for it. */
-  readonly takeView: (view: fleet.KindView) => void;
-  readonly watching: watchRole.WatchRole;
-  readonly fleetWatch: fleetChangeLogger.FleetChangeLogger;
+  readonly onViewUpdate: (view: fleet.KindView) => void;
+  readonly watchRole: watchRole.WatchRole;
+  readonly fleetChangeLogger: fleetChangeLogger.FleetChangeLogger;
   readonly subscription: fleet.ViewSubscription;
   readonly transport: protocol.HttpTransport;
   readonly members: fleet.MemberTable;
-  readonly refresh: fleet.ViewRefresher;
+  readonly viewRefresher: fleet.ViewRefresher;
   readonly relay: fleet.ViewRelay;
   readonly reports: fleetReports.FleetReports;
   readonly exchange: fleet.ReportExchange;
   readonly peerServer: protocol.PeerServer;
   readonly catalog: gateway.UpstreamCatalog;
   readonly picker: decisions.UpstreamPicker;
-  readonly repeats: decisions.RepeatBudget;
+  readonly repeatBudget: decisions.RepeatBudget;
   readonly limits: decisions.RateLimits;
   readonly rollouts: gateway.RolloutTracker;
   readonly pool: gateway.ConnectionPool;
--- a/packages/amaranthknot/src/gateway/gateway-instance.ts
+++ b/packages/amaranthknot/src/gateway/gateway-instance.ts
@@ -196,7 +196,7 @@
     const {settings, clock} = this.options;
     const members = this.get('members');
     const now = clock.now();
-    if (!members.hasWatcherList(now) && this.get('watching').isSettling()) {
+    if (!members.hasWatcherList(now) && this.get('watchRole').isSettling()) {
       return undefined;
     }
     const {zones, bounds} = settings.current;
--- a/packages/amaranthknot/src/gateway/instance-loops.ts
+++ b/packages/amaranthknot/src/gateway/instance-loops.ts
@@ -11,7 +11,7 @@
 
 /**
  * Interval at which the member list is checked for changes, in ms. The result
- * goes to the log and to the retry budget, and there may be hundreds of
+ * goes to the log and to the repeat budget, and there may be hundreds of
  * instances to go through.
  */
 const FLEET_CHECK_INTERVAL_MS = 1_000;
@@ -49,8 +49,8 @@
     if (seed !== undefined) {
       await this.askSeed(seed);
     }
-    for (const follower of Object.values(this.get('followers'))) {
-      void follower.run(signal);
+    for (const reflector of Object.values(this.get('reflectors'))) {
+      void reflector.run(signal);
     }
   }
 
@@ -100,7 +100,7 @@
   private checkFleetIfDue(nowMs: number): void {
     if (nowMs - this.fleetCheckedAtMs >= FLEET_CHECK_INTERVAL_MS) {
       this.fleetCheckedAtMs = nowMs;
-      this.get('fleetWatch').logChanges();
+      this.get('fleetChangeLogger').logChanges();
       repeatSlack.updateRepeatSlack(this.get);
     }
   }
--- a/packages/amaranthknot/src/gateway/repeat-slack.ts
+++ b/packages/amaranthknot/src/gateway/repeat-slack.ts
@@ -1,11 +1,11 @@
-/** Sets this instance's share of the retry slack of the whole fleet. */
+/** Sets this instance's share of the repeat slack of the whole fleet. */
 import type * as gatewayComponents from './gateway-components.js';
 
 /**
- * Fraction of the retry budget that instances use. Repeats that instances count
- * separately may fall into one window of the whole fleet.
+ * Fraction of the repeat budget that instances use. Repeats that instances
+ * count separately may fall into one window of the whole fleet.
  */
-export const RETRY_BUDGET_FRACTION = 0.95;
+export const REPEAT_BUDGET_FRACTION = 0.95;
 
 /**
  * Divides the repeats that are allowed on top of the ratio among the instances,
@@ -17,5 +17,7 @@
   const {settings, clock} = get('options');
   const count = get('members').idsForShares(clock.now()).length;
   const {slack} = settings.current.bounds.retry;
-  get('repeats').setSlack(Math.max(1, (RETRY_BUDGET_FRACTION * slack) / count));
+  get('repeatBudget').setSlack(
+    Math.max(1, (REPEAT_BUDGET_FRACTION * slack) / count),
+  );
 };
--- a/packages/amaranthknot/src/gateway/wiring/fleet-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/fleet-factories.ts
@@ -11,7 +11,7 @@
 export type FleetComponent =
   | 'transport'
   | 'members'
-  | 'fleetWatch'
+  | 'fleetChangeLogger'
   | 'reports'
   | 'exchange'
   | 'peerServer';
@@ -46,11 +46,11 @@
     seeds: () => settings.current.seeds.map(configuration.formatAddress),
     isFollower: () =>
       get('members').hasWatcherList(clock.now()) &&
-      !get('watching').isWatcher(),
-    findWatchers: () => get('watching').findWatchers(),
+      !get('watchRole').isWatcher(),
+    findWatchers: () => get('watchRole').findWatchers(),
     createReport: address => get('reports').createReport(address),
     onFailure: (peer, error) => {
-      get('fleetWatch').logPeerFailure(peer, error);
+      get('fleetChangeLogger').logPeerFailure(peer, error);
     },
     onAnswer: (address, report, askedAtMs) => {
       get('relay').mergeStates(address, report.views, askedAtMs);
@@ -65,11 +65,11 @@
 ): gatewayComponents.ComponentFactories<FleetComponent> => ({
   transport: () => options.transport ?? protocol.createHttpTransport({}),
   members: createMembers,
-  fleetWatch: get =>
+  fleetChangeLogger: get =>
     new fleetChangeLogger.FleetChangeLogger({
       now: () => options.clock.now(),
       members: get('members'),
-      watching: get('watching'),
+      role: get('watchRole'),
       log: get('log'),
     }),
   reports: get => new fleetReports.FleetReports(get),
--- a/packages/amaranthknot/src/gateway/wiring/request-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/request-factories.ts
@@ -10,10 +10,10 @@
 /** Tokens of the components that are created here. */
 export type RequestComponent =
   | 'latencies'
-  | 'capable'
+  | 'escalationPolicy'
   | 'catalog'
   | 'picker'
-  | 'repeats'
+  | 'repeatBudget'
   | 'limits'
   | 'rollouts'
   | 'pool'
@@ -88,7 +88,7 @@
   return new gateway.UpstreamPlacement({
     catalog: get('catalog'),
     picker: get('picker'),
-    repeats: get('repeats'),
+    repeats: get('repeatBudget'),
     limits: get('limits'),
     rollouts: get('rollouts'),
     now: () => clock.now(),
@@ -116,7 +116,7 @@
     random,
     log: get('log'),
     latencies: get('latencies'),
-    escalation: get('capable'),
+    escalation: get('escalationPolicy'),
     probe: gateway.createProbe(clock),
     whenSynced: () =>
       Promise.race([get('state').whenSynced(), clock.sleep(HOLD_AT_START_MS)]),
@@ -129,7 +129,7 @@
         get('limits').record(upstream, perSecond);
       },
     ),
-    refreshTable: () => get('refresh').refresh(),
+    refreshTable: () => get('viewRefresher').refresh(),
     activeTable: () => get('state').activeTable(),
     onRequestEnd: sample => {
       get('metrics').recordRequest(sample);
@@ -146,12 +146,12 @@
   options: gatewayComponents.GatewayOptions,
 ): gatewayComponents.ComponentFactories<RequestComponent> => ({
   latencies: () => new decisions.LatencyEstimates(),
-  capable: get =>
+  escalationPolicy: get =>
     new gateway.EscalationPolicy({
       now: () => options.clock.now(),
       catalog: get('catalog'),
       picker: get('picker'),
-      repeats: get('repeats'),
+      repeats: get('repeatBudget'),
       isZoneOut: zone => get('state').isZoneOut(zone),
     }),
   catalog: get =>
@@ -179,10 +179,10 @@
       now: () => options.clock.now(),
       random: options.random,
     }),
-  repeats: () => {
+  repeatBudget: () => {
     const {ratio, windowMs} = options.settings.current.bounds.retry;
     return new decisions.RepeatBudget({
-      ratio: repeatSlack.RETRY_BUDGET_FRACTION * ratio,
+      ratio: repeatSlack.REPEAT_BUDGET_FRACTION * ratio,
       windowMs,
       now: () => options.clock.now(),
     });
--- a/packages/amaranthknot/src/gateway/wiring/store-factories.ts
+++ b/packages/amaranthknot/src/gateway/wiring/store-factories.ts
@@ -13,11 +13,11 @@
   | 'store'
   | 'views'
   | 'state'
-  | 'followers'
-  | 'refresh'
+  | 'reflectors'
+  | 'viewRefresher'
   | 'relay'
-  | 'takeView'
-  | 'watching'
+  | 'onViewUpdate'
+  | 'watchRole'
   | 'subscription';
 
 /** Timeout of a call to the store, in milliseconds. */
@@ -59,12 +59,12 @@
     clock,
     random,
     findWatchTimeoutMs: ageMs =>
-      decisions.findWatchDurationMs(get('watching').boundMs(view.kind), ageMs),
+      decisions.findWatchDurationMs(get('watchRole').boundMs(view.kind), ageMs),
     pauseAfterChangesMs: decisions.findChangePauseMs(
-      get('watching').boundMs(view.kind),
+      get('watchRole').boundMs(view.kind),
     ),
-    getSyncMode: () => get('watching').getSyncMode(view),
-    onUpdate: get('takeView'),
+    getSyncMode: () => get('watchRole').getSyncMode(view),
+    onUpdate: get('onViewUpdate'),
     onRelist: relisted => {
       get('log').info('store_asked', {
         kind: relisted.kind,
@@ -74,7 +74,7 @@
     onCall: (calledKind, error) => {
       get('metrics').recordStoreCall(calledKind, error?.code ?? 'done');
       get('state').recordStoreCall(error);
-      get('watching').recordStoreCall(error);
+      get('watchRole').recordStoreCall(error);
     },
   });
 };
@@ -100,12 +100,12 @@
     clock: get('options').clock,
     transport: get('transport').send,
     views: Object.values(get('views')),
-    findSources: () => get('watching').findSources(),
-    staleAfterMs: kind => get('watching').staleAfterMs(kind),
-    onUpdate: get('takeView'),
-    isWatcher: () => get('watching').isWatcher(),
+    findSources: () => get('watchRole').findSources(),
+    staleAfterMs: kind => get('watchRole').staleAfterMs(kind),
+    onUpdate: get('onViewUpdate'),
+    isWatcher: () => get('watchRole').isWatcher(),
     onFailure: (peer, error) => {
-      get('fleetWatch').logPeerFailure(peer, error);
+      get('fleetChangeLogger').logPeerFailure(peer, error);
     },
     createReport: source => get('reports').createFollowerReport(source),
     onSummary: (source, summary) => {
@@ -123,32 +123,32 @@
   store: () => options.store ?? createStore(options),
   views: createViews,
   state: createState,
-  followers: get => ({
+  reflectors: get => ({
     configuration: createReflector(get, 'configuration'),
     upstreams: createReflector(get, 'upstreams'),
     rollouts: createReflector(get, 'rollouts'),
     evacuations: createReflector(get, 'evacuations'),
   }),
-  refresh: get =>
+  viewRefresher: get =>
     new fleet.ViewRefresher({
       view: get('views').configuration,
       store: get('store'),
       clock: options.clock,
-      onUpdate: get('takeView'),
+      onUpdate: get('onViewUpdate'),
     }),
   relay: get =>
     new fleet.ViewRelay({
       clock: options.clock,
       transport: get('transport').send,
       views: Object.values(get('views')),
-      onUpdate: get('takeView'),
-      staleAfterMs: kind => get('watching').staleAfterMs(kind),
+      onUpdate: get('onViewUpdate'),
+      staleAfterMs: kind => get('watchRole').staleAfterMs(kind),
     }),
-  takeView: get => view => {
+  onViewUpdate: get => view => {
     get('state').applyView(view);
     get('relay').wakeWaiters();
   },
-  watching: get =>
+  watchRole: get =>
     new watchRole.WatchRole({
       now: () => options.clock.now(),
       members: get('members'),
--- a/packages/amaranthknot/src/instance-components.ts
+++ b/packages/amaranthknot/src/instance-components.ts
@@ -23,21 +23,21 @@
   readonly logger: telemetry.Logger;
   readonly placement: decisions.Placement;
   readonly directory: entry.UpstreamDirectory;
-  readonly warmUp: entry.WarmUpLimiter;
+  readonly warmUpLimiter: entry.WarmUpLimiter;
   readonly zoneRamp: entry.ZoneRamp;
   readonly admission: entry.AdmissionController;
   readonly claims: ledger.ClaimLedger;
   readonly bills: ledger.BillLedger;
-  readonly peerCopies: ledger.BillReplicator;
-  readonly copyHolder: ledger.CopyStore;
+  readonly billReplicator: ledger.BillReplicator;
+  readonly copyStore: ledger.CopyStore;
   readonly pins: entry.PinRegistry;
-  readonly retries: decisions.RetryBudget;
+  readonly retryBudget: decisions.RetryBudget;
   readonly cascades: decisions.CascadePolicy;
-  readonly duties: membership.LeasedTaskRunner;
+  readonly leasedTaskRunner: membership.LeasedTaskRunner;
   readonly rolloutCounters: entry.RolloutCounters;
   readonly rolloutShares: entry.RolloutShares;
   /** Undefined if the settings name no rating service. */
-  readonly ratingDesk: entry.RatingSampler | undefined;
+  readonly ratingSampler: entry.RatingSampler | undefined;
   readonly peerServer: protocol.PeerServer;
   readonly server: entry.EntryServer;
 }
--- a/packages/amaranthknot/src/instance-state.ts
+++ b/packages/amaranthknot/src/instance-state.ts
@@ -49,7 +49,7 @@
     peers: peers.all(),
     in_flight: get('admission').inFlight,
     pending_bills: get('bills').pending().length,
-    copies_held: get('copyHolder').size,
+    copies_held: get('copyStore').size,
     upstreams: get('directory')
       .all()
       .map(({id, zone, state, serves}) => ({
--- a/packages/amaranthknot/src/instance-wiring.ts
+++ b/packages/amaranthknot/src/instance-wiring.ts
@@ -114,7 +114,7 @@
     clock: get('options').clock,
     random,
     incarnation: get('incarnation'),
-    copyToPeers: batch => get('peerCopies').replicate(batch),
+    copyToPeers: batch => get('billReplicator').replicate(batch),
     limits: {
       maxPending: get('options').settings.limits.maxPendingBills,
       copyQuorum: billCopyWiring.BILL_COPY_QUORUM,
@@ -155,8 +155,8 @@
     placeService: target => get('directory').place({target}),
     openEngine: upstreams.createEngineClient(),
     callService: upstreams.createServiceClient(),
-    recordAttempt: model => get('retries').recordAttempt(model),
-    mayRetry: model => get('retries').tryRetry(model),
+    recordAttempt: model => get('retryBudget').recordAttempt(model),
+    mayRetry: model => get('retryBudget').tryRetry(model),
     claims: get('claims'),
     bills: get('bills'),
     events: get('events'),
@@ -165,7 +165,7 @@
     handlePeer: text => get('peerServer').handle(text),
     describeState: () => instanceState.describeState(get),
     offerForRating: delivered => rolloutWiring.offerForRating(get, delivered),
-    recordColdRefusal: upstream => get('warmUp').recordRefusal(upstream),
+    recordColdRefusal: upstream => get('warmUpLimiter').recordRefusal(upstream),
     recordObservation: (model, version, observation) =>
       rolloutWiring.recordObservation(get, model, version, observation),
   });
@@ -252,7 +252,7 @@
       random,
     }),
   directory: upstreamWiring.createDirectory,
-  warmUp: upstreamWiring.createWarmUp,
+  warmUpLimiter: upstreamWiring.createWarmUpLimiter,
   zoneRamp: () => new entry.ZoneRamp(() => options.clock.now()),
   admission: () =>
     new entry.AdmissionController(
@@ -264,20 +264,20 @@
     ),
   claims: createClaims,
   bills: createBills,
-  peerCopies: billCopyWiring.createPeerCopies,
-  copyHolder: () => new ledger.CopyStore({clock: options.clock}),
+  billReplicator: billCopyWiring.createBillReplicator,
+  copyStore: () => new ledger.CopyStore({clock: options.clock}),
   pins: get => new entry.PinRegistry(get('store')),
   // A model starts with a full bucket: at a few requests an hour, a tenth of
   // the requests allows no retry, and these requests must survive a failing
   // upstream too. With 1,000 instances that adds at most 10,000 retries once,
   // less than a second of the peak load.
-  retries: () =>
+  retryBudget: () =>
     new decisions.RetryBudget({initial: decisions.DEFAULT_RETRY_BURST}),
   cascades: () => new decisions.CascadePolicy(),
-  duties: createTaskRunner,
+  leasedTaskRunner: createTaskRunner,
   rolloutCounters: () => new entry.RolloutCounters(),
   rolloutShares: get => new entry.RolloutShares(get('store'), options.clock),
-  ratingDesk: createRatingSampler,
+  ratingSampler: createRatingSampler,
   peerServer: peerServer.createPeerServer,
   server: createServer,
 });
--- a/packages/amaranthknot/src/operator/wait-for-instances.ts
+++ b/packages/amaranthknot/src/operator/wait-for-instances.ts
@@ -43,11 +43,11 @@
 
 /** Formats the report of one instance as one line. */
 export const formatReport = (report: membership.GenerationReport): string => {
-  const said =
+  const state =
     report.error === undefined
       ? `generation ${report.generation ?? 0}, ${report.standing ?? 'unknown'}`
       : `no answer (${report.error.code}: ${report.error.message})`;
-  return `  ${report.id} in ${report.zone}: ${said}`;
+  return `  ${report.id} in ${report.zone}: ${state}`;
 };
 
 const describeMissing = (
@@ -74,8 +74,8 @@
   connection: operatorConnection.OperatorConnection,
   wait: WaitOptions,
 ): Promise<purify.Either<outcome.Failure, number | undefined>> => {
-  const {environment, generation, flags: choice, showProgress} = wait;
-  if (!choice.wait) {
+  const {environment, generation, flags, showProgress} = wait;
+  if (!flags.wait) {
     return purify.Right(undefined);
   }
   const listed = await listEntryInstances(connection.instances);
@@ -88,7 +88,7 @@
     clock: connection.clock,
     environment,
     generation,
-    timeoutMs: choice.waitMs ?? DEFAULT_WAIT_MS,
+    timeoutMs: flags.waitMs ?? DEFAULT_WAIT_MS,
   });
   const accepted = `generation ${generation} is accepted; who has it is unknown`;
   return listed
--- a/packages/amaranthknot/src/peer-server.ts
+++ b/packages/amaranthknot/src/peer-server.ts
@@ -10,13 +10,13 @@
   protocol.createPeerServer({
     ...get('follower').handlers(),
     copy_bills: params => billCopyWiring.storeCopies(get, params),
-    request_grant: params => get('warmUp').answer(params),
+    request_grant: params => get('warmUpLimiter').answer(params),
     fetch_evidence: ({rollout}) => ({
       incarnation: get('incarnation'),
       ...get('rolloutCounters').read(rollout),
     }),
     fetch_bills: ({owner}) => ({
-      bills: [...get('copyHolder').listPending(owner)],
+      bills: [...get('copyStore').listPending(owner)],
     }),
     describe_claim: ({incarnation, owner}) => ({
       state:
--- a/packages/amaranthknot/src/rollout-wiring.ts
+++ b/packages/amaranthknot/src/rollout-wiring.ts
@@ -7,7 +7,7 @@
 import type * as configuration from '@amaranthknot/configuration';
 import type * as membership from '@amaranthknot/membership';
 import * as protocol from '@amaranthknot/protocol';
-import * as rollout from './commands/rollout.js';
+import * as rolloutCommand from './commands/rollout.js';
 import type * as instanceComponents from './instance-components.js';
 import * as activeDocument from './operator/active-document.js';
 
@@ -72,7 +72,7 @@
   model: string,
   version: string,
 ): number => {
-  const found = listRollouts(get).find(one => one.model === model);
+  const found = listRollouts(get).find(rollout => rollout.model === model);
   if (!found || found.state !== 'running') {
     return RATED_FRACTION;
   }
@@ -88,7 +88,7 @@
 ): void => {
   const {model, version} = answer;
   const messages = call.request.messages as readonly {content?: unknown}[];
-  get('ratingDesk')?.offer(
+  get('ratingSampler')?.offer(
     findRatingProbability(get, model, version),
     {
       workspace: call.workspace.name,
@@ -147,7 +147,7 @@
   const changed = await activeDocument.changeDocument(
     {store: get('store')},
     environmentOf(get),
-    rollout.setRolloutState(model, 'withdrawn'),
+    rolloutCommand.setRolloutState(model, 'withdrawn'),
   );
   return changed.isRight();
 };
@@ -155,7 +155,7 @@
 const createLeasedTask =
   (
     get: instanceComponents.InstanceResolver,
-    one: configuration.Rollout,
+    rollout: configuration.Rollout,
   ): membership.LeasedTask =>
   term =>
     entry.driveRollout(
@@ -168,14 +168,14 @@
         notify: (kind, {model, to}, detail) =>
           get('events').record(kind, {model, version: to, detail}),
       },
-      one,
+      rollout,
       term,
     );
 
 const formatTaskName = (
   environment: string,
-  one: configuration.Rollout,
-): string => `rollout.${entry.nameRolloutState(environment, one)}`;
+  rollout: configuration.Rollout,
+): string => `rollout.${entry.nameRolloutState(environment, rollout)}`;
 
 /**
  * Competes for the leased tasks of running rollouts, removes the tasks of those
@@ -188,18 +188,22 @@
   known: Set<string>,
 ): Promise<void> => {
   const environment = environmentOf(get);
-  const running = listRollouts(get).filter(one => one.state === 'running');
+  const running = listRollouts(get).filter(
+    rollout => rollout.state === 'running',
+  );
   const wanted = new Map(
-    running.map(one => [formatTaskName(environment, one), one] as const),
+    running.map(
+      rollout => [formatTaskName(environment, rollout), rollout] as const,
+    ),
   );
   for (const name of [...known].filter(each => !wanted.has(each))) {
     known.delete(name);
-    await get('duties').remove(name);
+    await get('leasedTaskRunner').remove(name);
   }
-  for (const [name, one] of wanted) {
+  for (const [name, rollout] of wanted) {
     if (!known.has(name)) {
       known.add(name);
-      get('duties').add(name, createLeasedTask(get, one));
+      get('leasedTaskRunner').add(name, createLeasedTask(get, rollout));
     }
   }
   if (listRollouts(get).length > 0) {
--- a/packages/amaranthknot/src/upstream-wiring.ts
+++ b/packages/amaranthknot/src/upstream-wiring.ts
@@ -22,11 +22,11 @@
     clock: get('options').clock,
     excludedZones: () => instanceState.listExcludedZones(get),
     sampleClosedZones: () => get('zoneRamp').listClosed(Math.random()),
-    mayStart: id => get('warmUp').mayStart(id),
+    mayStart: id => get('warmUpLimiter').mayStart(id),
   });
 
 /** Creates the limiter, which requests grants from peers. */
-export const createWarmUp = (
+export const createWarmUpLimiter = (
   get: instanceComponents.InstanceResolver,
 ): entry.WarmUpLimiter => {
   const {clock, warmUpTiming} = get('options');
--- a/packages/amaranthknot/tests/gateway/fleet-change-logger.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-change-logger.test.ts
@@ -29,7 +29,7 @@
   const watch = new fleetChangeLogger.FleetChangeLogger({
     now: () => nowMs,
     members,
-    watching: {
+    role: {
       isWatcher: () => role.isWatcher,
       findWatchers: () => [members.self],
     } as unknown as watchRole.WatchRole,
--- a/packages/amaranthknot/tests/gateway/fleet-membership.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-membership.test.ts
@@ -70,7 +70,7 @@
   it('converges soon after one instance is gone, watcher or not', async () => {
     const fleet = await startFleet(73);
     const isWatcher = ({get}: virtualFleet.VirtualInstance) =>
-      get('watching').isWatcher();
+      get('watchRole').isWatcher();
     const watcher = fleet.live().find(isWatcher)?.id ?? '';
     const other = fleet.live().find(found => !isWatcher(found))?.id ?? '';
     for (const id of [watcher, other]) {
--- a/packages/amaranthknot/tests/gateway/fleet-reports.test.ts
+++ b/packages/amaranthknot/tests/gateway/fleet-reports.test.ts
@@ -69,7 +69,7 @@
     limits,
     rollouts,
     relay: {states: () => []},
-    watching: {isWatcher: () => isWatcher, findWatchers: () => []},
+    watchRole: {isWatcher: () => isWatcher, findWatchers: () => []},
   };
   const get = ((token: keyof typeof components) =>
     components[token]) as unknown as gatewayComponents.GatewayResolver;
--- a/packages/amaranthknot/tests/gateway/leaving-upstreams.test.ts
+++ b/packages/amaranthknot/tests/gateway/leaving-upstreams.test.ts
@@ -111,7 +111,7 @@
 ): Promise<number> => {
   const fleet = await startFleet(leavingMs);
   await fleet.clock.advance(afterMs);
-  const watchers = fleet.live().filter(({get}) => get('watching').isWatcher());
+  const watchers = fleet.live().filter(({get}) => get('watchRole').isWatcher());
   chai.expect(watchers).not.empty;
   watchers.forEach(({id}) => {
     fleet.cutPower(id);
@@ -141,7 +141,7 @@
     // gone.
     const fleet = await startFleet(3_000);
     const isFollower = ({get}: virtualFleet.VirtualInstance) =>
-      !get('watching').isWatcher();
+      !get('watchRole').isWatcher();
     const alone = fleet.live().find(isFollower);
     fleet.isolate(alone?.id ?? '');
     await removeEntries(fleet, LEAVING);
--- a/packages/amaranthknot/tests/rollouts.test.ts
+++ b/packages/amaranthknot/tests/rollouts.test.ts
@@ -82,7 +82,8 @@
   // number.
   it('is resumed by another instance when its driver stops', async () => {
     const isDriver = (index: number) =>
-      deployment.instances[index]!.resolve('duties').heldTasks().length > 0;
+      deployment.instances[index]!.resolve('leasedTaskRunner').heldTasks()
+        .length > 0;
     await sendUntil(deployment.addresses, () => hasEvent('rollout_step'));
     const driver = [0, 1, 2].find(isDriver)!;
     const readStored = async () => {
--- a/packages/entry/src/chat-routes.ts
+++ b/packages/entry/src/chat-routes.ts
@@ -16,7 +16,7 @@
 /** Tokens that a stage is assumed to generate when costs are compared. */
 const EXPECTED_TOKENS = 500;
 
-const toChunkIdentity = (
+const createCompletionIdentity = (
   dependencies: entryDependencies.EntryDependencies,
   requestId: string,
 ): formatCompletion.CompletionIdentity => ({
@@ -237,7 +237,10 @@
         case 'failed':
           return this.refuse(h, event.error, requestId, chat.call);
         case 'answered': {
-          const identity = toChunkIdentity(this.dependencies, requestId);
+          const identity = createCompletionIdentity(
+            this.dependencies,
+            requestId,
+          );
           const body = formatCompletion.formatCompletion(
             identity,
             event.answer,
@@ -279,7 +282,10 @@
     first: chatRunner.ChatEvent,
     rest: AsyncGenerator<chatRunner.ChatEvent>,
   ): AsyncGenerator<string> {
-    const identity = toChunkIdentity(this.dependencies, chat.call.requestId);
+    const identity = createCompletionIdentity(
+      this.dependencies,
+      chat.call.requestId,
+    );
     const {includeUsage} = chat.call.request;
     let isFirst = true;
     try {
--- a/packages/entry/src/entry-server.ts
+++ b/packages/entry/src/entry-server.ts
@@ -155,7 +155,7 @@
         path: '/metrics',
         handler: async (request, h) => {
           if (!this.isOperator(request)) {
-            return this.refuseOperator(h);
+            return this.refuseKey(h);
           }
           const {registry} = this.dependencies.metrics;
           return h.response(await registry.metrics()).type('text/plain');
@@ -167,14 +167,14 @@
         handler: (request, h) =>
           this.isOperator(request)
             ? h.response(this.dependencies.describeState())
-            : this.refuseOperator(h),
+            : this.refuseKey(h),
       },
       {
         method: 'GET',
         path: '/operator/events',
         handler: (request, h) => {
           if (!this.isOperator(request)) {
-            return this.refuseOperator(h);
+            return this.refuseKey(h);
           }
           const {after} = request.query as {after?: string};
           const events = this.dependencies.events.read(Number(after ?? -1));
@@ -193,7 +193,7 @@
         },
         handler: async (request, h) => {
           if (!this.isPeer(request)) {
-            return this.refuseOperator(h);
+            return this.refuseKey(h);
           }
           const text = (request.payload as Buffer).toString('utf8');
           const answer = await this.dependencies.handlePeer(text);
@@ -276,7 +276,7 @@
     );
   }
 
-  private refuseOperator(h: hapi.ResponseToolkit): hapi.ResponseObject {
+  private refuseKey(h: hapi.ResponseToolkit): hapi.ResponseObject {
     const message = 'this needs a key of its own';
     const error = {code: 'invalid_key', ran: 'not_run', message} as const;
     return requestContext.replyError(h, error, this.dependencies.newId());
--- a/packages/entry/src/warm-up-limiter.ts
+++ b/packages/entry/src/warm-up-limiter.ts
@@ -56,6 +56,7 @@
   private readonly issuers = new Map<string, decisions.WarmUpIssuer>();
   private readonly timing: decisions.WarmUpTiming;
   private readonly startedAtMs: number;
+  /** Ids of the known instances, joined; a change drops all issuers. */
   private view = '';
   private viewSinceMs: number;
 
@@ -159,10 +160,10 @@
       return isRestarted ? decisions.resetIssuer(known, coldSinceMs) : known;
     }
     const {viewLagMs, termMs, drainMs} = this.timing;
-    const settledMs = this.viewSinceMs + viewLagMs + termMs + drainMs;
+    const settledAtMs = this.viewSinceMs + viewLagMs + termMs + drainMs;
     // The list of instances has not changed for so long that no other instance
     // can have issued grants that are still valid.
-    return settledMs < now
+    return settledAtMs < now
       ? decisions.createInitialIssuer(coldSinceMs)
       : decisions.createSuccessorIssuer(coldSinceMs, now, this.timing);
   }
--- a/packages/experiment/src/policy.ts
+++ b/packages/experiment/src/policy.ts
@@ -62,7 +62,7 @@
     now: () => clock.now(),
     catalog: get('catalog'),
     picker: get('picker'),
-    repeats: get('repeats'),
+    repeats: get('repeatBudget'),
     isZoneOut: zone => get('state').isZoneOut(zone),
   });
   policy.decide = (_request, _capable, confidence) => ({
@@ -89,8 +89,8 @@
     case 'least_requests':
       return {picker: get => createPicker(get, pickLeastLoaded)};
     case 'cheap_only':
-      return {capable: get => createEscalationPolicy(get, false)};
+      return {escalationPolicy: get => createEscalationPolicy(get, false)};
     case 'capable_only':
-      return {capable: get => createEscalationPolicy(get, true)};
+      return {escalationPolicy: get => createEscalationPolicy(get, true)};
   }
 };
--- a/packages/experiment/src/run-simulation.ts
+++ b/packages/experiment/src/run-simulation.ts
@@ -260,7 +260,7 @@
     const {confidenceDeviation} = this.deployment;
     const confidence = findConfidence(drawn, first.model, confidenceDeviation);
     const {get} = instance;
-    const {runs} = get('capable').decide(
+    const {runs} = get('escalationPolicy').decide(
       first.request,
       capable.name,
       confidence,
@@ -312,7 +312,7 @@
       drawn.class.timeoutMs,
     );
     const waitMs = clock.now() - startedAtMs;
-    get('capable').recordWait(
+    get('escalationPolicy').recordWait(
       placementRequest.request,
       model.name,
       waitMs,
--- a/packages/gateway/src/buffered-run.ts
+++ b/packages/gateway/src/buffered-run.ts
@@ -16,7 +16,7 @@
  */
 const CONNECT_TIMEOUT_MS = 100;
 
-/** Extra sends of one request for those that are refused without running. */
+/** Sends allowed beyond `maxAttempts`, as some are refused without running. */
 const MAX_REFUSED_SENDS = 4;
 
 /** `Retry-After` when no upstream may take the request, in milliseconds. */
--- a/packages/gateway/src/event-relay.ts
+++ b/packages/gateway/src/event-relay.ts
@@ -1,6 +1,6 @@
 /**
  * Relays the events of one answer to its caller, across fail-overs from one
- * upstream to the next. Torn events, gaps and repeats are not relayed.
+ * upstream to the next. Incomplete events, gaps and repeats are not relayed.
  */
 import type * as callerAnswer from './caller-answer.js';
 import * as eventSplitter from './event-splitter.js';
--- a/packages/gateway/src/event-splitter.ts
+++ b/packages/gateway/src/event-splitter.ts
@@ -1,7 +1,7 @@
 /**
  * Splits a stream of server-sent events into complete events, so that a stream
- * that breaks off within an event can resume at another upstream without a torn
- * event in between.
+ * that breaks off within an event can resume at another upstream, and the
+ * caller gets no incomplete event in between.
  */
 
 /** One complete event. */
--- a/packages/gateway/src/followed-rollout.ts
+++ b/packages/gateway/src/followed-rollout.ts
@@ -91,9 +91,9 @@
 
   /** Chooses the version for a request; requests of a session share the key. */
   chooseVersion(sessionKey: string): VersionChoice {
-    const {version: ordered, state} = this.rollout;
-    const isNew = (version: string) => version === ordered;
-    const isOld = (version: string) => version !== ordered;
+    const {version: newVersion, state} = this.rollout;
+    const isNew = (version: string) => version === newVersion;
+    const isOld = (version: string) => version !== newVersion;
     switch (state) {
       case 'completed':
         return only(isNew);
@@ -259,21 +259,24 @@
     }
   }
 
-  private logVerdict({new: n, old: o}: decisions.RolloutEvidence): void {
+  private logVerdict({
+    new: newCounts,
+    old: oldCounts,
+  }: decisions.RolloutEvidence): void {
     this.options.log.info('rollout_judged', {
       order: this.name,
       verdict: this.verdict,
       ageMs: Math.round(this.ageMs),
-      newRequests: n.requests,
-      newErrors: n.errors,
-      newSlow: n.slow,
-      newPaced: n.paced,
-      newDragging: n.dragging,
-      oldRequests: o.requests,
-      oldErrors: o.errors,
-      oldSlow: o.slow,
-      oldPaced: o.paced,
-      oldDragging: o.dragging,
+      newRequests: newCounts.requests,
+      newErrors: newCounts.errors,
+      newSlow: newCounts.slow,
+      newPaced: newCounts.paced,
+      newDragging: newCounts.dragging,
+      oldRequests: oldCounts.requests,
+      oldErrors: oldCounts.errors,
+      oldSlow: oldCounts.slow,
+      oldPaced: oldCounts.paced,
+      oldDragging: oldCounts.dragging,
     });
   }
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -79,7 +79,7 @@
     );
     this.active++;
     try {
-      await this.read(message, receivedAtMs, response, answer, times);
+      await this.readAndServe(message, receivedAtMs, response, answer, times);
     } catch (error) {
       // An internal error must not end the process, nor be answered as `not
       // run`, because the request may have run.
@@ -99,7 +99,7 @@
     }
   }
 
-  private async read(
+  private async readAndServe(
     message: http.IncomingMessage,
     receivedAtMs: number,
     response: http.ServerResponse,
--- a/packages/gateway/src/send-attempt.ts
+++ b/packages/gateway/src/send-attempt.ts
@@ -39,9 +39,9 @@
 };
 
 const outcomeOfAbort = (
-  end: runContext.AbortReason,
+  reason: runContext.AbortReason,
 ): runContext.AttemptOutcome => {
-  switch (end) {
+  switch (reason) {
     case 'time_up':
     case 'upstream_silent':
       // An upstream that was silent until the timeout has failed.
--- a/packages/gateway/src/stream-opener.ts
+++ b/packages/gateway/src/stream-opener.ts
@@ -16,7 +16,7 @@
  */
 const CONNECT_TIMEOUT_MS = 250;
 
-/** Extra sends of one request for those that are refused without running. */
+/** Sends allowed beyond `maxAttempts`, as some are refused without running. */
 const MAX_REFUSED_SENDS = 4;
 
 /** `Retry-After` when no upstream may take the request, in milliseconds. */
@@ -37,7 +37,10 @@
   private readonly excluded = new Set<string>();
   private runCount = 0;
   private sends = 0;
-  /** An attempt placed before the one in progress is aborted for it. */
+  /**
+   * The next attempt, placed before the one in progress is aborted, which goes
+   * on if the next can't be placed.
+   */
   private reserved: runContext.PlacedAttempt | undefined;
 
   /**
@@ -83,7 +86,7 @@
     return this.explainFailure();
   }
 
-  /** Places an attempt before the one in progress is aborted for it. */
+  /** Places the next attempt, see `reserved`; false if it can't be placed. */
   reserve(
     model: string | undefined,
     excluded: ReadonlySet<string> = this.excluded,
@@ -152,13 +155,13 @@
     upstream: routing.Upstream,
     model: string | undefined,
     abortController: AbortController,
-    end: runContext.AbortReason,
+    reason: runContext.AbortReason,
   ): boolean {
     const excluded = new Set([...this.excluded, upstream.id]);
     if (!this.reserve(model, excluded)) {
       return false;
     }
-    abortController.abort(end);
+    abortController.abort(reason);
     return true;
   }
 
--- a/packages/gateway/src/upstream-placement.ts
+++ b/packages/gateway/src/upstream-placement.ts
@@ -34,8 +34,8 @@
 
 /**
  * Window over which requests to a cold upstream are counted, in milliseconds.
- * Slightly over a second, because requests that were sent further apart may
- * arrive together.
+ * Slightly over a second, because requests that were sent more than a second
+ * apart may arrive within one second.
  */
 const COLD_WINDOW_MS = 1_100;
 
