--- a/packages/configuration/src/access.ts
+++ b/packages/configuration/src/access.ts
@@ -26,10 +26,10 @@
   );
   for (const {rule} of document.rules) {
     for (const name of listRuleWorkspaces(rule, document.workspaces.names)) {
-      const targets = texts.get(name);
-      const remaining = tables.MAX_ALLOWED + 1 - (targets?.size ?? 0);
+      const collected = texts.get(name);
+      const remaining = tables.MAX_ALLOWED + 1 - (collected?.size ?? 0);
       for (const text of remaining > 0 ? rule.allow : []) {
-        targets?.add(text);
+        collected?.add(text);
       }
     }
   }
--- a/packages/configuration/src/check-keys-and-zones.ts
+++ b/packages/configuration/src/check-keys-and-zones.ts
@@ -29,7 +29,7 @@
   return findings;
 };
 
-/** Checks that a zone is in; with all zones out no request could be placed. */
+/** Checks that not all zones are out, as no request could then be placed. */
 export const checkZones = (
   zones: tables.Tables['zones'],
 ): readonly problems.Finding[] => {
--- a/packages/configuration/src/diff-documents.ts
+++ b/packages/configuration/src/diff-documents.ts
@@ -1,8 +1,7 @@
 /** Lists the differences between two documents by the keys of their TOML. */
 import type * as documents from './document.js';
-import type * as problems from './problem.js';
 import * as formatDocument from './format-document.js';
-import * as problemText from './problem.js';
+import * as problems from './problem.js';
 import * as targets from './target.js';
 import * as canonicalJson from './util/canonical-json.js';
 
@@ -48,7 +47,7 @@
   before: unknown,
   after: unknown,
 ): readonly Change[] => {
-  const key = problemText.formatKey(path);
+  const key = problems.formatKey(path);
   if (before === undefined) {
     return [{key, kind: 'added', after}];
   }
--- a/packages/configuration/src/parse-gateway-settings.ts
+++ b/packages/configuration/src/parse-gateway-settings.ts
@@ -4,7 +4,7 @@
 import type * as problems from './problem.js';
 import * as addresses from './address.js';
 import type * as gatewaySettings from './gateway-settings.js';
-import * as defaults from './settings.js';
+import * as settings from './settings.js';
 import * as shapes from './util/check-shape.js';
 import * as readToml from './util/read-toml.js';
 
@@ -76,14 +76,14 @@
     .strictObject({
       level: zod
         .enum(['error', 'warn', 'info', 'debug'])
-        .default(defaults.DEFAULT_LOG_LEVEL),
+        .default(settings.DEFAULT_LOG_LEVEL),
     })
-    .default({level: defaults.DEFAULT_LOG_LEVEL}),
+    .default({level: settings.DEFAULT_LOG_LEVEL}),
 });
 
 type Tables = zod.infer<typeof schema>;
 
-const readAddress = (text: string): defaults.Address =>
+const readAddress = (text: string): settings.Address =>
   addresses.parseAddress(text).unsafeCoerce();
 
 const createListen = (
--- a/packages/configuration/src/parse-settings.ts
+++ b/packages/configuration/src/parse-settings.ts
@@ -3,7 +3,7 @@
 import * as zod from 'zod';
 import type * as problems from './problem.js';
 import * as addresses from './address.js';
-import * as defaults from './settings.js';
+import * as settings from './settings.js';
 import * as tables from './document-tables.js';
 import * as shapes from './util/check-shape.js';
 import * as readToml from './util/read-toml.js';
@@ -32,10 +32,10 @@
 
 const secret = zod.union(
   [
-    zod.string().min(defaults.MIN_SECRET_LENGTH),
+    zod.string().min(settings.MIN_SECRET_LENGTH),
     zod.strictObject({file: zod.string().min(1)}),
   ],
-  `must be a string of ${defaults.MIN_SECRET_LENGTH} characters or more, or {file = "PATH"}`,
+  `must be a string of ${settings.MIN_SECRET_LENGTH} characters or more, or {file = "PATH"}`,
 );
 
 const bytes = zod.int().min(1_024).max(MAX_BYTES);
@@ -43,26 +43,26 @@
 const count = zod.int().min(1).max(MAX_COUNT);
 
 const limits = zod.strictObject({
-  max_body_bytes: bytes.default(defaults.DEFAULT_MAX_BODY_BYTES),
-  max_header_bytes: bytes.default(defaults.DEFAULT_MAX_HEADER_BYTES),
-  header_timeout_ms: time.default(defaults.DEFAULT_HEADER_TIMEOUT_MS),
-  request_timeout_ms: time.default(defaults.DEFAULT_REQUEST_TIMEOUT_MS),
+  max_body_bytes: bytes.default(settings.DEFAULT_MAX_BODY_BYTES),
+  max_header_bytes: bytes.default(settings.DEFAULT_MAX_HEADER_BYTES),
+  header_timeout_ms: time.default(settings.DEFAULT_HEADER_TIMEOUT_MS),
+  request_timeout_ms: time.default(settings.DEFAULT_REQUEST_TIMEOUT_MS),
   stop_grace_ms: time.optional(),
   address_max_age_ms: zod
     .int()
     .min(0)
     .max(MAX_ADDRESS_AGE_MS)
-    .default(defaults.DEFAULT_ADDRESS_MAX_AGE_MS),
-  max_in_flight: count.default(defaults.DEFAULT_MAX_IN_FLIGHT),
-  max_pending_bills: count.default(defaults.DEFAULT_MAX_PENDING_BILLS),
-  max_pending_claims: count.default(defaults.DEFAULT_MAX_PENDING_CLAIMS),
-  max_timeline_events: count.default(defaults.DEFAULT_MAX_TIMELINE_EVENTS),
+    .default(settings.DEFAULT_ADDRESS_MAX_AGE_MS),
+  max_in_flight: count.default(settings.DEFAULT_MAX_IN_FLIGHT),
+  max_pending_bills: count.default(settings.DEFAULT_MAX_PENDING_BILLS),
+  max_pending_claims: count.default(settings.DEFAULT_MAX_PENDING_CLAIMS),
+  max_timeline_events: count.default(settings.DEFAULT_MAX_TIMELINE_EVENTS),
 });
 
 const log = zod.strictObject({
   level: zod
     .enum(['error', 'warn', 'info', 'debug'])
-    .default(defaults.DEFAULT_LOG_LEVEL),
+    .default(settings.DEFAULT_LOG_LEVEL),
 });
 
 /** Schema of the whole file. */
@@ -92,7 +92,7 @@
 
 type Tables = zod.infer<typeof settingsSchema>;
 
-const readAddress = (text: string): defaults.Address | undefined =>
+const readAddress = (text: string): settings.Address | undefined =>
   addresses.parseAddress(text).extract();
 
 const checkAddresses = (
@@ -135,14 +135,14 @@
   return [{path, code: 'out_of_range', message}];
 };
 
-const createSecret = (written: zod.infer<typeof secret>): defaults.Secret =>
+const createSecret = (written: zod.infer<typeof secret>): settings.Secret =>
   typeof written === 'string'
     ? {kind: 'text', text: written}
     : {kind: 'file', path: written.file};
 
 const createInstance = (
   written: Tables['instance'],
-): defaults.InstanceSettings => {
+): settings.InstanceSettings => {
   const listen = addresses.parseAddress(written.listen).unsafeCoerce();
   const {id, zone, region, environment} = written;
   const own = {id, zone, region, environment, listen};
@@ -156,14 +156,14 @@
 
 const createPlatform = (
   written: Tables['platform'],
-): defaults.PlatformSettings => ({
+): settings.PlatformSettings => ({
   objectApi: written.object_api,
   instanceList: written.instance_list,
   ...(written.rating === undefined ? {} : {rating: written.rating}),
   ...(written.key === undefined ? {} : {key: createSecret(written.key)}),
 });
 
-const createLimits = (written: Tables['limits']): defaults.InstanceLimits => ({
+const createLimits = (written: Tables['limits']): settings.InstanceLimits => ({
   maxBodyBytes: written.max_body_bytes,
   maxHeaderBytes: written.max_header_bytes,
   headerTimeoutMs: written.header_timeout_ms,
@@ -176,7 +176,7 @@
   maxTimelineEvents: written.max_timeline_events,
 });
 
-const createSettings = (written: Tables): defaults.Settings => ({
+const createSettings = (written: Tables): settings.Settings => ({
   instance: createInstance(written.instance),
   platform: createPlatform(written.platform),
   keys: {
@@ -209,7 +209,7 @@
 export const parseSettings = (
   text: string,
   file: string,
-): purify.Either<readonly problems.Problem[], defaults.Settings> =>
+): purify.Either<readonly problems.Problem[], settings.Settings> =>
   readToml.readToml(text, file, MAX_SETTINGS_BYTES).chain(source => {
     const findings = [
       ...shapes.checkShape(source.data, settingsSchema),
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,6 +1,13 @@
 /**
  * Decision modules for behaviour under load. They do no I/O; time and random
  * numbers are passed in.
+ *
+ * Some questions are answered by two modules, as entry instances (`serve`) and
+ * gateway instances (`gateway`) work differently. In each of these pairs the
+ * first is for entry instances: `placement` and `upstream-picker`,
+ * `cascade-policy` and `model-choice`, `rollout-evaluation` and
+ * `rollout-schedule`, `warm-up` and `cold-share`, `retry-budget` and
+ * `repeat-budget`.
  */
 export * from './admission-queue.js';
 export * from './admission-outcome.js';
--- a/packages/decisions/src/repeat-budget.ts
+++ b/packages/decisions/src/repeat-budget.ts
@@ -1,6 +1,7 @@
 /**
- * Limits how many requests one instance may repeat, relative to the requests
- * that it sent within the window in which operators count.
+ * Limits the repeats of one instance, relative to the requests that it sent
+ * within the window in which operators count. A repeat is any further sending
+ * of a request: a retry, or a run of the capable model after the cheap one.
  *
  * Load: instances that each see a few requests a second, of which every other
  * one needs a second, more capable model. Harm prevented: repeats that multiply
--- a/packages/decisions/src/rollout-evidence.ts
+++ b/packages/decisions/src/rollout-evidence.ts
@@ -1,6 +1,6 @@
 /**
- * Evidence about the two versions of a rollout, counted on every entry
- * instance. Counters only grow and are kept per instance, so that reports may
+ * Evidence about the two versions of a rollout, counted on every instance.
+ * Counters only grow and are kept per instance, so that reports may
  * arrive late, twice or out of order without being lost or counted twice.
  */
 
--- a/packages/decisions/src/rollout-schedule.ts
+++ b/packages/decisions/src/rollout-schedule.ts
@@ -29,8 +29,9 @@
  * - `doubtful`: it fails so much more often than the old version that its share
  *   stays at the initial one.
  * - `unproved`: it may get full traffic, but its rollout can't complete yet.
- * - `unclear`: it has too few answers to judge, and so has the old version.
- * - `good`: by its failures it is less likely to be worse than to be as good.
+ * - `unclear`: both versions have too few answers to judge.
+ * - `good`: its failures make it more likely that it is as good as the old
+ *   version than that it is worse.
  */
 export type VersionVerdict =
   'bad' | 'doubtful' | 'unproved' | 'unclear' | 'good';
@@ -294,8 +295,9 @@
  *
  * Guards against completing a bad version that looks good by chance: with the
  * old upstreams stopped there is no version to return to, and all callers get
- * its failures. A rollout completes only if its version is less likely to be
- * worse than to be as good; one that was rolled back can be repeated.
+ * its failures. A rollout completes only if its version is more likely to be as
+ * good as the old one than to be worse; one that was rolled back can be
+ * repeated.
  */
 export const findRolloutEnd = (
   timing: RolloutTiming,
--- a/packages/decisions/src/stage-belief.ts
+++ b/packages/decisions/src/stage-belief.ts
@@ -39,7 +39,10 @@
   readonly unscored: boolean;
 }
 
-/** Bound on the log odds of scores: more extreme scores say no more. */
+/**
+ * Bound on the log odds of scores: more extreme scores carry no further
+ * information.
+ */
 const LOGIT_LIMIT = 4;
 const BIN_COUNT = 8;
 const UNSCORED_BIN = BIN_COUNT;
@@ -126,8 +129,8 @@
   escalated: boolean,
   unscored: boolean,
 ): number => {
-  const [base = 0, , shift = 0, missing = 0] = coefficients;
-  return base + (escalated ? shift : 0) + (unscored ? missing : 0);
+  const [base = 0, , ifEscalated = 0, ifUnscored = 0] = coefficients;
+  return base + (escalated ? ifEscalated : 0) + (unscored ? ifUnscored : 0);
 };
 
 /** Not negative: a higher score never counts as a worse answer. */
@@ -136,9 +139,9 @@
 
 /**
  * Estimates the outcome after a stage answered, when each answer is accepted
- * or escalated, whichever loses less by `coefficients`. The fraction of good
- * answers is estimated by the mean of the belief, so that an exploring plan
- * isn't credited with the optimistic values that were drawn.
+ * or escalated, whichever has the lower expected loss for `coefficients`. The
+ * fraction of good answers is estimated by the mean of the belief, so that an
+ * exploring plan isn't credited with the optimistic values that were drawn.
  */
 export const estimateOutcome = (
   belief: StageBelief,
@@ -153,14 +156,14 @@
   let good = 0;
   for (let bin = 0; bin <= BIN_COUNT; bin++) {
     const pass = findBinPass(coefficients, escalated, bin);
-    const likely =
+    const expectedPass =
       coefficients === mean ? pass : findBinPass(mean, escalated, bin);
     const bad = costs.badAnswerCost * (1 - pass);
     const count = histogram[bin] ?? 0;
     const accepts = bad <= costs.escalation.loss;
     total += count;
     loss += count * (accepts ? bad : costs.escalation.loss);
-    good += count * (accepts ? likely : costs.escalation.pass);
+    good += count * (accepts ? expectedPass : costs.escalation.pass);
   }
   return {loss: loss / total, pass: good / total};
 };
@@ -191,25 +194,28 @@
   return logisticRegression.sigmoid(base + findSlope(mean) * x);
 };
 
-/** Finds which answers lose less by being accepted than by escalating. */
+/** Finds the answers for which accepting loses less than escalating. */
 export const findAcceptance = (
   coefficients: readonly number[],
   escalated: boolean,
   costs: AnswerCosts,
 ): Acceptance => {
-  const needed = 1 - costs.escalation.loss / costs.badAnswerCost;
-  if (needed <= 0) {
+  const minPass = 1 - costs.escalation.loss / costs.badAnswerCost;
+  if (minPass <= 0) {
     return {threshold: 0, unscored: true};
   }
-  const wanted = Math.log(needed / (1 - needed));
-  const unscored = findBaseLogit(coefficients, escalated, true) >= wanted;
-  const missing = wanted - findBaseLogit(coefficients, escalated, false);
+  const minLogit = Math.log(minPass / (1 - minPass));
+  const unscored = findBaseLogit(coefficients, escalated, true) >= minLogit;
+  const minScoreTerm = minLogit - findBaseLogit(coefficients, escalated, false);
   const slope = findSlope(coefficients);
-  if (missing <= -slope * LOGIT_LIMIT) {
+  if (minScoreTerm <= -slope * LOGIT_LIMIT) {
     return {threshold: 0, unscored};
   }
-  if (missing > slope * LOGIT_LIMIT) {
+  if (minScoreTerm > slope * LOGIT_LIMIT) {
     return {threshold: ACCEPT_NONE, unscored};
   }
-  return {threshold: logisticRegression.sigmoid(missing / slope), unscored};
+  return {
+    threshold: logisticRegression.sigmoid(minScoreTerm / slope),
+    unscored,
+  };
 };
--- a/packages/decisions/tests/admission-queue-load.test.ts
+++ b/packages/decisions/tests/admission-queue-load.test.ts
@@ -53,19 +53,21 @@
 
 describe('admission under load', () => {
   const loads = [
-    {name: 'half of capacity', load: 0.5, least: 0.99},
-    {name: 'all of capacity', load: 1, least: 0.8},
-    {name: 'twice capacity', load: 2, least: 0.45},
-    {name: 'five times capacity', load: 5, least: 0.18},
+    {name: 'half of capacity', load: 0.5, minFraction: 0.99},
+    {name: 'all of capacity', load: 1, minFraction: 0.8},
+    {name: 'twice capacity', load: 2, minFraction: 0.45},
+    {name: 'five times capacity', load: 5, minFraction: 0.18},
   ];
-  for (const {name, load, least} of loads) {
+  for (const {name, load, minFraction} of loads) {
     // Under overload, service in order of arrival answers all requests too
     // late, as it starts work whose caller no longer waits.
     it(`answers enough requests in time at ${name}`, () => {
       const demands = createLoad(SMALL, load);
       const outcomes = loadFixture.runLoad(createQueue(), demands);
       chai.expect(loadFixture.checkHistory(outcomes, CAPACITY)).deep.equal([]);
-      chai.expect(inTime(outcomes).length).at.least(least * demands.length);
+      chai
+        .expect(inTime(outcomes).length)
+        .at.least(minFraction * demands.length);
     });
   }
 
--- a/packages/decisions/tests/cascade-policy.test.ts
+++ b/packages/decisions/tests/cascade-policy.test.ts
@@ -60,23 +60,23 @@
     {
       name: 'a small model that is nearly always good',
       smallPass: 0.99,
-      mostCost: 5,
+      maxCost: 5,
     },
-    {name: 'a small model that is often good', smallPass: 0.7, mostCost: 12},
+    {name: 'a small model that is often good', smallPass: 0.7, maxCost: 12},
     {
       name: 'a small model that is hardly ever good',
       smallPass: 0.02,
-      mostCost: 22,
+      maxCost: 22,
     },
   ];
-  for (const {name, smallPass, mostCost} of cases) {
+  for (const {name, smallPass, maxCost} of cases) {
     it(`meets the target at low cost with ${name}`, () => {
       const random = createRandom(1);
       const policy = new decisions.CascadePolicy();
       serve(policy, 10_000, smallPass, random);
       const {good, cost} = serve(policy, 20_000, smallPass, random);
       chai.expect(good).to.be.at.least(0.895);
-      chai.expect(cost).to.be.at.most(mostCost);
+      chai.expect(cost).to.be.at.most(maxCost);
     });
   }
 
--- a/packages/fleet/src/kind-reflector.ts
+++ b/packages/fleet/src/kind-reflector.ts
@@ -117,12 +117,12 @@
 
   private async list(): Promise<CallOutcome> {
     const {store, view, clock} = this.options;
-    const startedAt = clock.now();
+    const startedAtMs = clock.now();
     const listed = await store.list(view.kind);
     return listed.caseOf<CallOutcome>({
       Left: error => ({error, changes: 0}),
       Right: listing => {
-        view.replaceAll(listing, startedAt);
+        view.replaceAll(listing, startedAtMs);
         this.isHistoryGone = false;
         return NO_CHANGES;
       },
@@ -131,16 +131,16 @@
 
   private async watch(): Promise<CallOutcome> {
     const {store, view, clock, findWatchTimeoutMs} = this.options;
-    const startedAt = clock.now();
-    const waitMs = findWatchTimeoutMs(startedAt - view.confirmedAtMs);
+    const startedAtMs = clock.now();
+    const waitMs = findWatchTimeoutMs(startedAtMs - view.confirmedAtMs);
     const changes = await store.watch(view.kind, view.version ?? 0, waitMs);
     return changes.caseOf<CallOutcome>({
       Left: error => ({error, changes: 0}),
       Right: found => {
         // The store answers without changes only after the whole wait.
         const {length} = found.events;
-        const wasHeld = length === 0 && clock.now() - startedAt >= waitMs;
-        view.applyChanges(found, wasHeld ? startedAt + waitMs : startedAt);
+        const wasHeld = length === 0 && clock.now() - startedAtMs >= waitMs;
+        view.applyChanges(found, wasHeld ? startedAtMs + waitMs : startedAtMs);
         return {error: undefined, changes: length};
       },
     });
--- a/packages/fleet/src/member-groups.ts
+++ b/packages/fleet/src/member-groups.ts
@@ -56,8 +56,10 @@
     const known = new Map(states.map(state => [state.keeper, state]));
     return this.live(nowMs).flatMap(([keeper, group]) => {
       const {start, revision, members} = group;
-      const isNews = revision > 0 && isLater(group, known.get(keeper));
-      return isNews ? [{keeper, start, revision, members: [...members]}] : [];
+      const isMissing = revision > 0 && isLater(group, known.get(keeper));
+      return isMissing
+        ? [{keeper, start, revision, members: [...members]}]
+        : [];
     });
   }
 
@@ -115,11 +117,11 @@
     nowMs: number,
   ): Group | undefined {
     const group = this.groups.get(keeper);
-    const isNews =
+    const isNewer =
       !group ||
       start > group.start ||
       (start === group.start && beat > group.beat);
-    if (!isNews) {
+    if (!isNewer) {
       return undefined;
     }
     const isSameStart = group?.start === start;
--- a/packages/fleet/src/member-table.ts
+++ b/packages/fleet/src/member-table.ts
@@ -132,10 +132,10 @@
     const hasWatcherList = this.hasWatcherList(nowMs);
     for (const member of members) {
       const row = this.rows.get(member.id);
-      const isNews = hasWatcherList
+      const isAccepted = hasWatcherList
         ? row === undefined || member.start > row.member.start
         : row === undefined || isNewer(member, row.member);
-      if (isNews) {
+      if (isAccepted) {
         this.set(member, nowMs);
       }
     }
@@ -366,15 +366,15 @@
   }
 
   /**
-   * Reachable instances that take callers now, this one included if it does.
+   * Reachable instances that accept callers now, this one included if it does.
    */
   serving(nowMs: number): readonly protocol.Member[] {
     return this.reachable(nowMs).filter(({phase}) => phase === 'serving');
   }
 
   /**
-   * Reachable instances that are not leaving, whether they take callers yet or
-   * not.
+   * Reachable instances that are not leaving, whether they accept callers yet
+   * or not.
    */
   staying(nowMs: number): readonly protocol.Member[] {
     return this.reachable(nowMs).filter(({phase}) => phase !== 'leaving');
--- a/packages/fleet/src/report-exchange.ts
+++ b/packages/fleet/src/report-exchange.ts
@@ -54,8 +54,8 @@
 const EXCHANGE_TIMEOUT_MS = 700;
 
 /**
- * Every this many rounds, a seed or an instance that went silent is called. Two
- * groups that lost each other find each other again this way.
+ * Number of rounds after which a seed or a silent instance is called. This
+ * reconnects two parts of the fleet that lost contact with each other.
  */
 const ROUNDS_PER_SEARCH = 8;
 
@@ -111,12 +111,12 @@
   }
 
   /**
-   * If this instance is a watcher, the next watcher in its turn; otherwise a
-   * random one.
+   * Address of the next watcher in a fixed order if this instance is a watcher,
+   * otherwise of a random one.
    *
    * The distance in the order of ids doubles from round to round. What one
    * watcher knows thus reaches all others after as many rounds as their count
-   * has binary digits. Random draws would now and then leave a watcher out for
+   * has binary digits. Random draws would sometimes leave a watcher out for
    * seconds.
    */
   private nextWatcher(): string | undefined {
--- a/packages/fleet/src/view-refresher.ts
+++ b/packages/fleet/src/view-refresher.ts
@@ -12,7 +12,8 @@
 
 /**
  * Longest time that a request is held for a refresh, in milliseconds. The store
- * answers within some ten; if it takes longer, it counts as unavailable.
+ * answers within some ten milliseconds; if it takes longer, it counts as
+ * unavailable.
  */
 const MAX_HOLD_MS = 250;
 
--- a/packages/fleet/src/view-relay.ts
+++ b/packages/fleet/src/view-relay.ts
@@ -1,7 +1,7 @@
 /**
  * Passes views from peer to peer, with their age. An instance that is cut off
- * from the store, or leaves the watching to others, thereby keeps working with
- * what its peers know.
+ * from the store, or does not watch it itself, thereby keeps working with what
+ * its peers know.
  */
 import type * as ports from '@amaranthknot/ports';
 import * as protocol from '@amaranthknot/protocol';
--- a/packages/ledger/src/bill-replicator.ts
+++ b/packages/ledger/src/bill-replicator.ts
@@ -76,15 +76,17 @@
     refused: readonly string[],
   ): Promise<readonly string[]> {
     const before = this.replicas;
-    const wanted = this.selectReplicas(refused);
-    const sent = wanted.map(async peer => {
-      const taken = await this.sendTo(peer, batch, before.includes(peer));
-      return {peer, taken};
+    const selected = this.selectReplicas(refused);
+    const sent = selected.map(async peer => {
+      const isAccepted = await this.sendTo(peer, batch, before.includes(peer));
+      return {peer, isAccepted};
     });
     const results = await Promise.all(sent);
-    const holders = results.filter(result => result.taken);
+    const holders = results.filter(result => result.isAccepted);
     this.replicas = holders.map(result => result.peer);
-    return results.filter(result => !result.taken).map(result => result.peer);
+    return results
+      .filter(result => !result.isAccepted)
+      .map(result => result.peer);
   }
 
   /**
--- a/packages/membership/src/configuration-publisher.ts
+++ b/packages/membership/src/configuration-publisher.ts
@@ -15,7 +15,7 @@
  * design rate of 1.05 changes/s. Two deltas cover the generations that come
  * together, and keep the head near 1 KB; each watcher reads it once per change.
  */
-const MAX_STEPS = 2;
+const MAX_DELTAS = 2;
 
 /**
  * Publication ids kept in a head. A publisher whose answer was lost finds its
@@ -121,11 +121,11 @@
   publication: string,
 ): configurationHead.Head => {
   const generation = (base?.generation ?? 0) + 1;
-  const step = {generation, digest, ...difference};
+  const delta = {generation, digest, ...difference};
   return {
     generation,
     digest,
-    steps: [...(base?.steps ?? []), step].slice(-MAX_STEPS),
+    steps: [...(base?.steps ?? []), delta].slice(-MAX_DELTAS),
     publications: [...(base?.publications ?? []), publication].slice(
       -MAX_PUBLICATIONS,
     ),
--- a/packages/membership/src/configuration-relay.ts
+++ b/packages/membership/src/configuration-relay.ts
@@ -11,9 +11,9 @@
 import type * as peerTable from './peer-table.js';
 
 /**
- * Timeout of one message, in milliseconds. Peers answer in a few, those of a
- * far region in about 300. A dead one must not hold up the spread of a change,
- * which may take 3 s.
+ * Timeout of one message, in milliseconds. Peers answer within a few
+ * milliseconds, those of a far region within about 300. A dead peer must not
+ * delay the propagation of a change, which may take at most 3 s.
  */
 export const MESSAGE_TIMEOUT_MS = 600;
 
--- a/packages/membership/src/configuration-source.ts
+++ b/packages/membership/src/configuration-source.ts
@@ -25,8 +25,8 @@
   head: configurationHead.Head,
 ): readonly configurationHead.HeadDelta[] | undefined => {
   const from = current?.generation ?? 0;
-  const steps = head.steps.filter(step => step.generation > from);
-  return steps.length === head.generation - from ? steps : undefined;
+  const deltas = head.steps.filter(delta => delta.generation > from);
+  return deltas.length === head.generation - from ? deltas : undefined;
 };
 
 type Outline = Pick<
@@ -43,13 +43,13 @@
   current: configurationUpdate.ActiveConfiguration | undefined,
   head: configurationHead.Head,
 ): Promise<ports.StoreResult<Outline>> => {
-  const steps = listDeltas(current, head);
-  if (steps) {
+  const deltas = listDeltas(current, head);
+  if (deltas) {
     const base = current?.manifest ?? compareManifests.EMPTY_MANIFEST;
     const history = current?.history ?? sectionHistory.EMPTY_HISTORY;
     return purify.Right({
-      manifest: steps.reduce(compareManifests.applyDifference, base),
-      history: sectionHistory.applyHeadDeltas(history, steps),
+      manifest: deltas.reduce(compareManifests.applyDifference, base),
+      history: sectionHistory.applyHeadDeltas(history, deltas),
     });
   }
   const read = await configurationHead.readManifest(store, head.digest);
--- a/packages/membership/src/exchange-pacer.ts
+++ b/packages/membership/src/exchange-pacer.ts
@@ -23,7 +23,8 @@
 const DOUBT_FRACTION = 0.12;
 
 /**
- * Paces exchanges: at a steady rate, early after a change, more often in doubt.
+ * Paces exchanges: at a steady rate, early after a change, and more often in
+ * doubt, that is, while the last confirmation is older than half of the bound.
  */
 export class ExchangePacer {
   private readonly tokens: tokenBucket.TokenBucket;
@@ -64,7 +65,7 @@
    * Waits until the next exchange is due.
    *
    * In doubt, `boundMs` is given: before it is over, the instance has to judge
-   * whether the platform is out or whether it is cut off itself. Several
+   * whether the platform is down or whether it is cut off itself. Several
    * exchanges with other zones fit into that time, so that an outage does not
    * stop instances which only drew the wrong peers.
    */
--- a/packages/membership/src/freshness.ts
+++ b/packages/membership/src/freshness.ts
@@ -1,7 +1,7 @@
 /**
  * Judges whether an instance's configuration is still the accepted one. It
  * distinguishes three cases that look alike to the instance: all is well, the
- * platform is out for everybody, and this instance is cut off.
+ * platform is down for everybody, and this instance is cut off.
  */
 import type * as protocol from '@amaranthknot/protocol';
 
@@ -18,10 +18,10 @@
 /**
  * What each doubling of instances per watcher adds to the bound, in
  * milliseconds. With one exchange each second, the fraction of instances that
- * hold a given confirmation or a later one doubles each second; one and a half
- * seconds more cover the slow tail. At 1,000 instances with 27 watchers the
- * bound is 15.5 s, below the 17 s in which a change has to be active
- * everywhere.
+ * hold a given confirmation or a later one doubles each second; the other 1.5 s
+ * are for the instances that it reaches last. At 1,000 instances with 27
+ * watchers the bound is 15.5 s, below the 17 s in which a change has to be
+ * active everywhere.
  */
 export const BOUND_PER_DOUBLING_MS = 2_500;
 
@@ -74,8 +74,8 @@
    * Judges the configuration.
    *
    * In an outage of the platform nobody can accept a change, so it is right to
-   * go on serving. If only this instance is cut off, a change may have been
-   * accepted unseen, so it is wrong. In an outage most zones are heard, and
+   * go on serving. If only this instance is cut off, it may have missed a change
+   * that was accepted, so it must stop. In an outage most zones are heard, and
    * none of them reached the platform either, or its confirmation would have
    * come with the exchange. An instance that is alone, or in a group of half of
    * the zones or fewer, can't tell the two cases apart.
--- a/packages/membership/src/lease-keeper.ts
+++ b/packages/membership/src/lease-keeper.ts
@@ -14,7 +14,7 @@
 
 /**
  * Time for which a lease is valid without renewal, in milliseconds. It is short
- * enough that a rollout or pool has no holder for little more than 10 s after
+ * enough that a rollout or a pool has no holder for little more than 10 s after
  * a kill, and long enough that two renewals may be lost.
  */
 export const LEASE_MS = 10_000;
@@ -54,7 +54,7 @@
 export interface LeaseTerm {
   /**
    * Object version of the write that began this term. Later terms have higher
-   * ones, so an upstream that keeps the highest refuses orders of earlier
+   * ones, so an upstream that keeps the highest refuses commands of earlier
    * holders.
    */
   readonly fencing: number;
@@ -105,12 +105,12 @@
   }
 
   /**
-   * Whether an order may be given now. Call it before each one.
+   * Whether a command may be sent now. Call it before each one.
    *
    * Guards against a holder that is paused past its lease, resumes, and goes on
-   * giving orders beside its successor. The monotonic clock has advanced
+   * sending commands beside its successor. The monotonic clock has advanced
    * meanwhile, so the first check after the pause already returns false. A
-   * pause between this check and the order itself is covered by the fencing
+   * pause between this check and the command itself is covered by the fencing
    * number.
    */
   mayAct(): boolean {
@@ -162,7 +162,7 @@
     if (!this.term) {
       return;
     }
-    // No order is allowed after this point, whatever becomes of the write
+    // No command is allowed after this point, whatever becomes of the write
     // below: if it is lost, the lease expires.
     this.endTerm();
     const record = {holder: '', token, write: ++this.write, leaseMs: 0};
--- a/packages/membership/src/leased-task-runner.ts
+++ b/packages/membership/src/leased-task-runner.ts
@@ -1,6 +1,7 @@
 /**
- * Runs named leased tasks, such as one rollout or the orders to one pool. Each
- * runs on one instance at a time: the one that holds the task's lease.
+ * Runs named leased tasks, such as one rollout or the commands to one pool of
+ * upstreams. Each runs on one instance at a time: the one that holds the task's
+ * lease.
  */
 import * as decisions from '@amaranthknot/decisions';
 import type * as ports from '@amaranthknot/ports';
@@ -23,9 +24,11 @@
 
 /** The term during which a task may run, as passed to its work. */
 export interface TaskTerm {
-  /** Fencing number to send with each order; later holders have higher ones. */
+  /**
+   * Fencing number to send with each command; later holders have higher ones.
+   */
   readonly fencing: number;
-  /** Whether an order may be given now. Call it before each one. */
+  /** Whether a command may be sent now. Call it before each one. */
   mayAct(): boolean;
   /**
    * Aborts when the task must stop: the lease is lost, or the instance leaves.
--- a/packages/membership/src/peer-table.ts
+++ b/packages/membership/src/peer-table.ts
@@ -22,9 +22,9 @@
 const DEAD_RETENTION_MS = 600_000;
 
 /**
- * How often a piece of news is passed on, per doubling of the fleet. Three
- * times reach all but a few in ten thousand instances; the platform's list
- * covers the rest.
+ * Number of times that an instance passes on a piece of news, per doubling of
+ * the fleet. With 3, the news reaches all but a few in ten thousand instances;
+ * the platform's list covers the rest.
  */
 const NEWS_PER_DOUBLING = 3;
 
@@ -55,8 +55,8 @@
   (a.incarnation === b.incarnation && RANKS[a.state] > RANKS[b.state]);
 
 /**
- * Whether a row is passed on as news. That a listed instance lives is known
- * from the list; if it were passed on as well when a whole fleet starts, it
+ * Whether a row is passed on as news. It is not if it only says that a listed
+ * instance lives, which the list says too: when a whole fleet starts, such rows
  * would fill the messages of several minutes.
  */
 const isNews = (peer: protocol.Peer, before: Row | undefined): boolean => {
--- a/packages/membership/src/section-history.ts
+++ b/packages/membership/src/section-history.ts
@@ -79,9 +79,9 @@
 /** Adds the deltas of a head, oldest first. */
 export const applyHeadDeltas = (
   history: SectionHistory,
-  steps: readonly configurationHead.HeadDelta[],
+  deltas: readonly configurationHead.HeadDelta[],
 ): SectionHistory =>
-  steps.reduce(
+  deltas.reduce(
     (extended, {generation, entries, removed}) =>
       extendHistory(
         extended,
--- a/packages/membership/tests/lease-keeper.test.ts
+++ b/packages/membership/tests/lease-keeper.test.ts
@@ -42,7 +42,7 @@
   });
 
   // Guards against a rollout that runs twice: its holder was paused past its
-  // lease, resumes and gives orders beside its successor.
+  // lease, resumes and sends commands beside its successor.
   it('stops a holder that was paused past its lease', async () => {
     const {clock, createKeeper} = createFixture();
     const [paused, successor] = [createKeeper('a'), createKeeper('b')];
@@ -56,7 +56,7 @@
     chai.expect(successor.mayAct()).equal(true);
   });
 
-  // The lease expires and nobody takes it. Orders sent before may still be on
+  // The lease expires and nobody takes it. Commands sent before may still be on
   // their way, so the next term needs its own fencing number.
   it('gives a holder a new term after its lease expired', async () => {
     const {clock, createKeeper} = createFixture();
--- a/packages/membership/tests/leased-task-runner.test.ts
+++ b/packages/membership/tests/leased-task-runner.test.ts
@@ -71,7 +71,7 @@
 
   // Guards against a rollout that stands still until a lease expires, or runs
   // in two places, when its holder is stopped for a new release.
-  it('hands its duties over before it leaves', async () => {
+  it('hands its tasks over before it leaves', async () => {
     const {clock, members, running, fencings, startAll} = createFixture(3);
     startAll();
     await clock.advance(20_000);
@@ -108,7 +108,7 @@
     chai.expect(fencings[1]).greaterThan(fencings[0]!);
   });
 
-  // The platform is out for longer than a lease. The holder must stop, since
+  // The platform is down for longer than a lease. The holder must stop, since
   // nobody can tell whether it was replaced, and start again afterwards.
   it('stops its work when the lease cannot be renewed', async () => {
     const {clock, store, running, fencings, startAll} = createFixture(3);
--- a/packages/protocol/src/http-transport.ts
+++ b/packages/protocol/src/http-transport.ts
@@ -1,4 +1,4 @@
-/** Sends messages between entry instances as HTTP requests. */
+/** Sends messages between instances as HTTP requests. */
 import * as http from 'node:http';
 import * as zlib from 'node:zlib';
 import * as wreck from '@hapi/wreck';
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** Typed messages between entry instances. */
+/** Typed messages between instances, entry or gateway ones. */
 export type * from './fleet-messages.js';
 export * from './http-transport.js';
 export * from './messages.js';
--- a/packages/protocol/src/messages.ts
+++ b/packages/protocol/src/messages.ts
@@ -1,8 +1,8 @@
 /**
- * Messages between entry instances: the parameters and the result of each
- * method. Schemas check what arrives; types are derived from them. During an
- * upgrade of the product the two ends may run neighbouring releases, so a
- * receiver ignores fields that it does not know.
+ * Messages between instances, entry or gateway ones: the parameters and the
+ * result of each method. Schemas check what arrives; types are derived from
+ * them. During an upgrade of the product the two ends may run neighbouring
+ * releases, so a receiver ignores fields that it does not know.
  */
 import * as zod from 'zod';
 import * as fleetMessages from './fleet-messages.js';
@@ -260,7 +260,7 @@
 
 type Schemas = typeof schemas;
 
-/** Name of a message between entry instances. */
+/** Name of a message between instances. */
 export type MethodName = keyof Schemas;
 
 /** Parameters and result of each message. */
--- a/packages/protocol/src/peer-client.ts
+++ b/packages/protocol/src/peer-client.ts
@@ -1,4 +1,4 @@
-/** Sends typed messages to entry instances over a transport. */
+/** Sends typed messages to other instances over a transport. */
 import * as rpc from 'json-rpc-2.0';
 import * as purify from 'purify-ts';
 import * as messages from './messages.js';
--- a/packages/protocol/src/peer-server.ts
+++ b/packages/protocol/src/peer-server.ts
@@ -1,4 +1,4 @@
-/** Answers typed messages from other entry instances. */
+/** Answers typed messages from other instances. */
 import * as rpc from 'json-rpc-2.0';
 import * as messages from './messages.js';
 
--- a/packages/protocol/src/peer-transport.ts
+++ b/packages/protocol/src/peer-transport.ts
@@ -1,4 +1,4 @@
-/** Port that sends a request's text to another entry instance. */
+/** Port that sends a request's text to another instance. */
 import type * as purify from 'purify-ts';
 
 /**
