--- a/tools/mixed-builds.js
+++ b/tools/mixed-builds.js
@@ -18,6 +18,7 @@
 const KEY = 'meetups-example-key-tamaki-newcomers';
 const ZONES = ['akl-a', 'akl-b', 'akl-c'];
 const FIRST_PORT = 8081;
+const PLATFORM = 'http://127.0.0.1:7000';
 /** Timeout of each wait, in milliseconds. */
 const WAIT_MS = 30_000;
 
@@ -130,29 +131,35 @@
 
 const TRIAL = ['--environment', 'trial'];
 
-const chat = (index, stream = false, headers = {}) =>
-  send(
+let answeredChats = 0;
+const bookedKeys = new Set();
+
+const chat = async (index, stream = false, headers = {}) => {
+  const body = {
+    model: 'welcome-pack',
+    messages: [{role: 'user', content: 'hello'}],
+    stream,
+  };
+  const answer = await send(
     index,
     'POST',
     '/v1/chat/completions',
-    {
-      model: 'welcome-pack',
-      messages: [{role: 'user', content: 'hello'}],
-      stream,
-    },
+    body,
     headers,
   );
+  answeredChats += answer.status === 200 ? 1 : 0;
+  return answer;
+};
 
-const book = (index, key, seat) =>
-  send(
-    index,
-    'POST',
-    '/services/bookings/seats',
-    {seat},
-    {
-      'idempotency-key': key,
-    },
-  );
+const book = async (index, key, seat) => {
+  const headers = {'idempotency-key': key};
+  const route = '/services/bookings/seats';
+  const answer = await send(index, 'POST', route, {seat}, headers);
+  if (answer.status === 200) {
+    bookedKeys.add(key);
+  }
+  return answer;
+};
 
 const documentWith = (name, change) => {
   const file = path.join(folder, `${name}.toml`);
@@ -373,6 +380,28 @@
   await checkAnswers('entry-1 after a kill', 0);
 };
 
+const readBills = async () => {
+  const answer = await fetch(`${PLATFORM}/objects/bill-segment`);
+  const {objects} = await answer.json();
+  return objects.flatMap(({value}) => value.bills);
+};
+
+/** Waits for the bills of the killed instance, which its peers write. */
+const checkBills = async () => {
+  const expected = answeredChats + bookedKeys.size;
+  let identities = [];
+  const hasAll = async () => {
+    identities = (await readBills()).map(({identity}) => identity);
+    return new Set(identities).size >= expected;
+  };
+  await waitFor(`${expected} bills`, hasAll).catch(() => undefined);
+  report(
+    'each answer of both builds is billed once',
+    new Set(identities).size === expected && identities.length === expected,
+    `${expected} answers, ${identities.length} bills`,
+  );
+};
+
 const REFUSED =
   /refused|malformed|unknown method|invalid (params|message)|internal_error/i;
 
@@ -407,6 +436,7 @@
   await checkHandover('old', 'new', 'handover-1', 0.92);
   await checkHandover('new', 'old', 'handover-2', 0.94);
   await checkMixedFleet();
+  await checkBills();
   checkLogs();
 };
 
